--- a/src/cloverplank/leader/__init__.py
+++ b/src/cloverplank/leader/__init__.py
@@ -1,1 +1,1 @@
-"""What only the leader does: shard assignment, zone allocation under quotas, scale out and scale in."""
+"""Work that only the leader does: shard assignment, zone allocation under quotas, scale out and scale in."""
--- a/src/cloverplank/leader/cluster_machines.py
+++ b/src/cloverplank/leader/cluster_machines.py
@@ -1,4 +1,4 @@
-"""The machines that the leader schedules on: which exist, which are drained, and what their types offer."""
+"""The machines that the leader schedules on: the registry, the draining machines and the machine types."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class ClusterMachines(Struct, frozen=True):
-    """What is known of all machines; `types` returns the machine types by name."""
+    """All machines of the cluster; `types` returns the machine types by name."""
 
     registry: MachineRegistry
     draining: DrainingMachines
     types: Callable[[], dict[str, MachineType]]
 
     def is_assignable(self, entry: MachineEntry) -> bool:
-        """Return whether the machine may be given new tasks, now or once it is up."""
+        """Return whether the machine may be assigned new tasks, now or once it is up."""
         if entry.id in self.draining or entry.termination_announced or entry.state == STATE_FAILED:
             return False
         return entry.health in ASSIGNABLE_HEALTH
--- a/src/cloverplank/leader/handover.py
+++ b/src/cloverplank/leader/handover.py
@@ -1,4 +1,4 @@
-"""Handover: the leader reassigns the shard of a controller that the failure detector judges faulty."""
+"""Shard handover: the leader reassigns the shards of a controller that the failure detector judges faulty."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 log = logging.getLogger(__name__)
 
 MIN_HANDOVER_INTERVAL_S = 2.0
-REPEAT_WINDOW_MS = 600_000  # a verdict within this time after the last one on the same controller counts up
+REPEAT_WINDOW_MS = 600_000  # a verdict within this time of the previous one on the same controller raises its count
 
 
 class _Handover(Struct, frozen=True):
-    """A shard that is to be handed over, and the controller that is judged faulty."""
+    """A shard to hand over, with its owner that is judged faulty and the evidence against that owner."""
 
     zone: Zone
     former_owner: NodeId
@@ -40,7 +40,7 @@
 
 
 class ShardHandover:
-    """Hands over shards while this controller leads and the failure detector is enabled."""
+    """Hands over the shards of faulty controllers while this controller leads and the failure detector is enabled."""
 
     def __init__(
         self,
@@ -62,27 +62,27 @@
         self._committed = committed
         self._shard_assigner = shard_assigner
         self._detector = detector
-        self._handed_over_at = NEVER
+        self._last_attempt_at = NEVER
 
     async def reconcile(self) -> None:
-        """Hand over one shard of a faulty controller, if there is one."""
+        """Hand over at most one shard of a faulty controller."""
         if not self._detector.enabled:
             return
-        leader = self._controller_lease.leadership_revision()
-        if leader is None or self._committed.current().version < SUSPICION.version:
+        leadership_revision = self._controller_lease.leadership_revision()
+        if leadership_revision is None or self._committed.current().version < SUSPICION.version:
             return
         now = self._clock.monotonic()
-        if self._detector.majority_suspected() or now - self._handed_over_at < MIN_HANDOVER_INTERVAL_S:
+        if self._detector.majority_suspected() or now - self._last_attempt_at < MIN_HANDOVER_INTERVAL_S:
             return
-        handover = self._next_handover()
+        handover = self._find_handover()
         if handover is None:
             return
-        self._handed_over_at = now
+        self._last_attempt_at = now
         successor = self._shard_assigner.replacement(handover.zone, handover.former_owner)
         if successor is not None:
-            await self._commit(leader, handover, successor)
+            await self._commit(leadership_revision, handover, successor)
 
-    def _next_handover(self) -> _Handover | None:
+    def _find_handover(self) -> _Handover | None:
         """Return the first shard whose owner is judged faulty."""
         for zone in self._zones:
             assigned = self._watch_cache.get(keys.shard(zone), ShardRecord)
@@ -94,17 +94,19 @@
                 return _Handover(zone, owner, token, self._detector.evidence(owner))
         return None
 
-    async def _commit(self, leader: ModRevision, handover: _Handover, successor: AssignmentCandidate) -> None:
+    async def _commit(
+        self, leadership_revision: ModRevision, handover: _Handover, successor: AssignmentCandidate
+    ) -> None:
         """Commit the new assignment together with the verdict.
 
-        The transaction depends on the former assignment's mod revision, so it takes effect once, whoever sends it and
-        however late.
+        The transaction compares the mod revision of the former assignment, so it takes effect at most once, whichever
+        controller sends it and however late.
         """
         zone = handover.zone
         verdict_key = keys.verdict(handover.former_owner)
-        verdict = self._verdict(handover, successor.node)
+        verdict = self._make_verdict(handover, successor.node)
         compares = [
-            Compare(keys.LEADER, leader),
+            Compare(keys.LEADER, leadership_revision),
             Compare(keys.shard(zone), handover.former_token),
             Compare(keys.node(successor.node), successor.mod_revision),
             Compare(verdict_key, self._watch_cache.mod_revision_or_unreadable(verdict_key)),
@@ -117,7 +119,7 @@
         try:
             response = await self._queue.commit(Transaction(compares, changes), TransactionPriority.LEASE, once=True)
         except StoreError as err:
-            log.debug("handover of %s from %s: %s", zone, handover.former_owner, err)
+            log.debug("handover of shard %s from %s to %s failed: %s", zone, handover.former_owner, successor.node, err)
             return
         if not response.conflicts:
             log.info(
@@ -129,7 +131,7 @@
                 verdict.reason,
             )
 
-    def _verdict(self, handover: _Handover, successor: NodeId) -> VerdictRecord:
+    def _make_verdict(self, handover: _Handover, successor: NodeId) -> VerdictRecord:
         node, evidence = handover.former_owner, handover.evidence
         now: WallTimeMs = self._clock.wall_ms()
         previous = self._watch_cache.get(keys.verdict(node), VerdictRecord)
--- a/src/cloverplank/leader/machine_list.py
+++ b/src/cloverplank/leader/machine_list.py
@@ -16,9 +16,9 @@
 
 
 class MachineListReader:
-    """Enters the machines that the cloud lists into the registry while this controller leads.
+    """Registers the machines that the cloud lists while this controller leads.
 
-    `list_lag_s`: by how much the list may lag.
+    `list_lag_s`: by how many seconds the machine list may lag.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._list_lag_s = list_lag_s
 
     async def poll(self) -> None:
-        """Read the list once. Machines that no record names are adopted by being registered."""
+        """Read the machine list once and register its machines, including those that no provisioning record names."""
         if self._controller_lease.leadership_revision() is None:
             return
         for provisioning, _ in self._watch_cache.list_records(keys.PROVISIONING, ProvisioningRecord).values():
@@ -47,6 +47,6 @@
         try:
             machines = await self._cloud.machines()
         except CloudUnavailableError as err:
-            log.debug("machine list: %s", err)
+            log.debug("machine list can't be read: %s", err)
             return
         self._registry.apply_list(machines, self._list_lag_s)
--- a/src/cloverplank/leader/pool_backoff.py
+++ b/src/cloverplank/leader/pool_backoff.py
@@ -1,4 +1,4 @@
-"""Back-off for machine pools that the cloud has no capacity in."""
+"""Back-off for machine pools in which the cloud has no capacity."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class PoolBackoff:
-    """Remembers for `pause_s` seconds which machine pools had no capacity."""
+    """Pauses requests for machines of a pool for `pause_s` seconds after the pool had no capacity."""
 
     def __init__(self, clock: Clock, pause_s: float) -> None:
         self._clock = clock
@@ -15,7 +15,7 @@
         self._paused_until: dict[MachinePool, MonotonicTime] = {}
 
     def pause(self, pool: MachinePool) -> None:
-        """Request no machines of the pool until the pause is over."""
+        """Start the pause of a pool that has no capacity."""
         self._paused_until[pool] = MonotonicTime(self._clock.monotonic() + self._pause_s)
 
     def is_paused(self, pool: MachinePool) -> bool:
--- a/src/cloverplank/leader/scale_in.py
+++ b/src/cloverplank/leader/scale_in.py
@@ -85,7 +85,7 @@
             return
         await self._start_drains()
         drained = self._drained()
-        await self._transactions.write_all(self._drain_record_updates())
+        await self._transactions.commit_all(self._drain_record_updates())
         if drained:
             await self._terminate(drained[:MAX_TERMINATE])
 
@@ -95,7 +95,7 @@
             log.info("scale in: machine %s: %s", machine, reason)
         if started:
             record = DrainRecord(self._clock.wall_ms(), {machine: reason.value for machine, reason in started.items()})
-            await self._transactions.write([Put(self._next_drain_key(), record)])
+            await self._transactions.commit([Put(self._next_drain_key(), record)])
 
     def _drain_candidates(self) -> dict[MachineId, DrainReason]:
         """Return the machines to drain, and note since when each is idle."""
@@ -191,7 +191,7 @@
             return
         changes = self._terminated_updates()
         written = set(self._unrecorded)
-        if await self._transactions.write_all(changes):
+        if await self._transactions.commit_all(changes):
             self._unrecorded -= written
 
     def _terminated_updates(self) -> list[Put | Delete]:
--- a/src/cloverplank/leader/scale_out.py
+++ b/src/cloverplank/leader/scale_out.py
@@ -130,7 +130,7 @@
         provisioning = ProvisioningRecord(
             type=pool.type, zone=pool.zone, spot=pool.spot, count=request.count, requested_at=self._clock.wall_ms()
         )
-        if not await self._transactions.write([Put(keys.provisioning(name), provisioning)]):
+        if not await self._transactions.commit([Put(keys.provisioning(name), provisioning)]):
             return False
         await self._request(name, provisioning)
         return True
@@ -167,9 +167,9 @@
             self._registry.requested(machine, pool)
         if machines:
             finished = msgspec.structs.replace(provisioning, machines=machines)
-            await self._transactions.write([Put(keys.provisioning(name), finished)])
+            await self._transactions.commit([Put(keys.provisioning(name), finished)])
         else:
             await self._forget(name)
 
     async def _forget(self, name: str) -> None:
-        await self._transactions.write([Delete(keys.provisioning(name))])
+        await self._transactions.commit([Delete(keys.provisioning(name))])
--- a/src/cloverplank/leader/transactions.py
+++ b/src/cloverplank/leader/transactions.py
@@ -14,7 +14,10 @@
 
 
 class LeaderTransactions:
-    """Commits changes on condition that this controller still leads. `max_changes`: in one transaction."""
+    """Commits changes on condition that this controller still leads.
+
+    `max_changes`: how many changes one transaction may have.
+    """
 
     def __init__(
         self, controller_lease: ControllerLease, watch_cache: WatchCache, queue: TransactionQueue, *, max_changes: int
@@ -24,26 +27,26 @@
         self._queue = queue
         self._max_changes = max(1, max_changes)
 
-    async def write_all(self, changes: Sequence[Put | Delete]) -> bool:
+    async def commit_all(self, changes: Sequence[Put | Delete]) -> bool:
         """Commit the changes in as many transactions as it takes; return whether all were committed."""
-        size = self._max_changes
-        for start in range(0, len(changes), size):
-            if not await self.write(changes[start : start + size]):
+        batch_size = self._max_changes
+        for start in range(0, len(changes), batch_size):
+            if not await self.commit(changes[start : start + batch_size]):
                 return False
         return True
 
-    async def write(self, changes: Sequence[Put | Delete]) -> bool:
+    async def commit(self, changes: Sequence[Put | Delete]) -> bool:
         """Commit the changes in one transaction; return whether it was committed.
 
-        Each key is compared with its cached mod revision. A copy that is carried out late, after newer changes of the
-        same leader, must not bring back an old provisioning record or a terminated machine.
+        Each key is compared with its cached mod revision: a copy of the transaction that the store executes late, after
+        newer changes of the same leader, must not restore an old provisioning record or a terminated machine.
         """
-        mod_revision = self._controller_lease.leadership_revision()
-        if mod_revision is None:
+        leadership_revision = self._controller_lease.leadership_revision()
+        if leadership_revision is None:
             return False
         changed_keys = dict.fromkeys(change.key for change in changes)
         compares = [Compare(key, self._watch_cache.mod_revision(key)) for key in changed_keys]
-        transaction = Transaction([Compare(keys.LEADER, mod_revision), *compares], list(changes))
+        transaction = Transaction([Compare(keys.LEADER, leadership_revision), *compares], list(changes))
         try:
             response = await self._queue.commit(transaction, TransactionPriority.PLACE)
         except StoreError:
