--- a/src/cloverplank/leader/leader.py
+++ b/src/cloverplank/leader/leader.py
@@ -32,12 +32,12 @@
 
 log = logging.getLogger(__name__)
 
-LIST_INTERVAL_S = 2.0
-SCALE_INTERVAL_S = 0.5
+MACHINE_LIST_INTERVAL_S = 2.0
+SCALING_INTERVAL_S = 0.5
 
 
 class LeaderDependencies(Struct, frozen=True):
-    """What the leader's parts are built from."""
+    """The components of the controller that the leader uses."""
 
     clock: Clock
     controller_lease: ControllerLease
@@ -51,7 +51,7 @@
 
 
 class Leader:
-    """Lives as long as the process; its parts act only while the controller's lease says that it leads."""
+    """Runs on every controller; its components act only while its lease makes this controller the leader."""
 
     def __init__(
         self, platform: PlatformSettings, operator: OperatorSettings, dependencies: LeaderDependencies
@@ -98,17 +98,17 @@
         )
 
     def run_cycle(self, queued_jobs: list[QueuedJob], plan: ZonePlan) -> None:
-        """Allocate the tasks of the queued jobs to zones, and note what lacks capacity."""
+        """Allocate the tasks of the queued jobs to zones, and record the tasks that lack capacity as unmet demands."""
         self._zone_allocator.run_cycle(queued_jobs, plan)
 
     async def run(self) -> None:
-        """Poll the machine list and scale, for ever.
+        """Poll the machine list and scale the cluster, indefinitely.
 
-        The two run side by side, since the list of thousands of machines takes many pages.
+        Both run concurrently, because the list of thousands of machines takes many pages.
         """
         await asyncio.gather(
-            _repeat(self._machine_list.poll, LIST_INTERVAL_S, "reading the machine list"),
-            _repeat(self._scale, SCALE_INTERVAL_S, "scaling"),
+            _run_periodically(self._machine_list.poll, MACHINE_LIST_INTERVAL_S, "reading the machine list"),
+            _run_periodically(self._scale, SCALING_INTERVAL_S, "scaling"),
         )
 
     async def _scale(self) -> None:
@@ -116,14 +116,14 @@
         await self._scale_in.scale_in()
 
 
-async def _repeat(work: Callable[[], Awaitable[None]], interval_s: float, description: str) -> None:
-    """Do the work for ever; a failure is logged and does not end the loop."""
+async def _run_periodically(work: Callable[[], Awaitable[None]], interval_s: float, description: str) -> None:
+    """Do the work indefinitely, `interval_s` seconds apart; a failure is logged and does not end the loop."""
     while True:
         try:
             await work()
         except Exception:
-            # The outermost level of the loop, which must outlive any fault.
-            log.exception("%s failed", description)
+            # This is the outermost level of the loop, which must survive any fault.
+            log.exception("%s failed; trying again in %.1f s", description, interval_s)
         await asyncio.sleep(interval_s)
 
 
--- a/src/cloverplank/leader/scale_in.py
+++ b/src/cloverplank/leader/scale_in.py
@@ -1,4 +1,4 @@
-"""Scale in: which machines are drained, when they are terminated, and the records of both."""
+"""Scale in: selects machines to drain, terminates drained machines, and records both."""
 
 from __future__ import annotations
 
@@ -23,24 +23,25 @@
 
 log = logging.getLogger(__name__)
 
-MIN_BILLED_S = 58.0  # a machine costs a minute at least, so a younger one is kept
-DEFAULT_BOOT_S = 60.0
-MIN_NEVER_UP_S = 60.0
-SILENT_S = 50.0
-MAX_DRAIN_S = 40.0  # after this a faulty machine is terminated even with tasks on it
-DRAIN_GRACE_S = 0.5  # a placement in flight when a drain is committed shows within this time
+MIN_BILLED_S = 58.0  # the cloud bills at least one minute, so idle machines younger than this are kept
+DEFAULT_BOOT_S = 60.0  # assumed for a machine of unknown type
+MIN_BOOT_TIMEOUT_S = 60.0  # a machine without any heartbeat is not drained as "never up" before this time
+HEARTBEAT_TIMEOUT_S = 50.0  # a machine without heartbeats for this long is drained as "silent"
+FAULTY_DRAIN_TIMEOUT_S = 40.0  # after this time, a faulty machine is terminated even if tasks run on it
+DRAIN_GRACE_S = 0.5  # a placement that was in flight when a drain was committed becomes visible within this time
 MAX_DRAINS_PER_CYCLE = 48
-DRAIN_RECORD_TTL_S = 300.0  # late copies of its heartbeats must not bring a machine back
-SCALE_IN_DELAY_S = 6.0  # a new leader first hears from the cloud, shard owners and workers
+DRAIN_RECORD_TTL_S = 300.0  # while the record exists, late copies of heartbeats can't restore a terminated machine
+SCALE_IN_DELAY_S = 6.0  # a new leader first waits for the machine list, the gossip of shard owners and heartbeats
 
-# Reasons for which a machine is terminated without waiting for its tasks: they don't run there.
-TASKS_ARE_GONE = frozenset({DrainReason.FAILED, DrainReason.SILENT, DrainReason.NEVER_UP})
+# For these reasons a machine is terminated without waiting for its tasks, because none run on it.
+REASONS_WITHOUT_TASKS = frozenset({DrainReason.FAILED, DrainReason.SILENT, DrainReason.NEVER_UP})
 
 
 class ScaleIn:
     """Drains and terminates machines while this controller leads.
 
-    `needed_machines` returns those that queued jobs count on, `led_for_s` for how many seconds this controller has led.
+    `needed_machines` returns the machines whose capacity is allocated to queued jobs; `led_for_s` returns for how many
+    seconds this controller has led.
     """
 
     def __init__(
@@ -68,15 +69,17 @@
         self._needed_machines = needed_machines
         self._led_for_s = led_for_s
         self._sequence = 0
-        self._unrecorded: set[MachineId] = set()  # terminated, and not yet committed as such
+        # Terminated machines whose termination is not committed yet.
+        self._unrecorded_terminations: set[MachineId] = set()
         self._draining_since: dict[MachineId, MonotonicTime] = {}
 
     async def scale_in(self) -> None:
-        """Start drains, terminate the machines whose drain is complete, and record both."""
+        """Start drains, terminate lost machines and those whose drain is complete, and record both."""
         if self._controller_lease.leadership_revision() is None:
             return
-        await self._record_terminated()
-        # A machine that its shard owner calls lost is terminated at once: the cloud's response proves its tasks gone.
+        await self._record_terminations()
+        # A machine that its shard owner reports as lost is terminated at once: the cloud's response proves that its
+        # tasks have ended.
         lost = [entry.id for entry in self._registry.entries.values() if entry.health == HEALTH_LOST]
         if lost:
             log.info("scale in: lost machines: %s", " ".join(lost))
@@ -84,7 +87,7 @@
         if self._led_for_s() < SCALE_IN_DELAY_S:
             return
         await self._start_drains()
-        drained = self._drained()
+        drained = self._drained_machines()
         await self._transactions.commit_all(self._drain_record_updates())
         if drained:
             await self._terminate(drained[:MAX_TERMINATE])
@@ -98,7 +101,7 @@
             await self._transactions.commit([Put(self._next_drain_key(), record)])
 
     def _drain_candidates(self) -> dict[MachineId, DrainReason]:
-        """Return the machines to drain, and note since when each is idle."""
+        """Return the machines to drain with the reason for each, and update since when each machine is idle."""
         now = self._clock.monotonic()
         types = self._machines.types()
         needed_machines = self._needed_machines()
@@ -123,9 +126,9 @@
             return DrainReason.FAULTY
         if entry.heard_at is None:
             boot_s = machine_type.boot_s if machine_type else DEFAULT_BOOT_S
-            never_up_s = max(MIN_NEVER_UP_S, self._operator.never_up_factor * boot_s)
-            return DrainReason.NEVER_UP if now - entry.since > never_up_s else None
-        if now - entry.heard_at > SILENT_S:
+            boot_timeout_s = max(MIN_BOOT_TIMEOUT_S, self._operator.never_up_factor * boot_s)
+            return DrainReason.NEVER_UP if now - entry.since > boot_timeout_s else None
+        if now - entry.heard_at > HEARTBEAT_TIMEOUT_S:
             return DrainReason.SILENT
         idle_limit_s = self._operator.idle_release_spot_s if entry.spot else self._operator.idle_release_s
         idle_s = -math.inf if entry.idle_since is None else now - entry.idle_since
@@ -136,7 +139,7 @@
         self._sequence += 1
         return keys.drain(f"{self._controller_lease.leadership_revision()}-{self._sequence}")
 
-    def _drained(self) -> list[MachineId]:
+    def _drained_machines(self) -> list[MachineId]:
         """Return the machines whose drain is complete."""
         now = self._clock.monotonic()
         drained = []
@@ -151,13 +154,13 @@
     def _is_drained(self, machine: MachineId, reason: str, draining_s: float) -> bool:
         if not self._store.jobs_on(machine):
             return True
-        return reason != DrainReason.IDLE and (reason in TASKS_ARE_GONE or draining_s > MAX_DRAIN_S)
+        return reason != DrainReason.IDLE and (reason in REASONS_WITHOUT_TASKS or draining_s > FAULTY_DRAIN_TIMEOUT_S)
 
     def _drain_record_updates(self) -> list[Put | Delete]:
-        """Return the changes that stop drains of machines that are busy again, and delete records past their time."""
+        """Return the changes that stop drains of machines with new tasks and that delete expired records."""
         changes: list[Put | Delete] = []
         for key, record in self._draining.records().items():
-            # A task was placed on it as its drain was committed: it stays.
+            # A task was placed on an idle machine while its drain was being committed, so the machine is kept.
             kept = {
                 name
                 for name, reason in record.draining.items()
@@ -182,22 +185,22 @@
         for machine in machines:
             self._registry.remove_terminated(machine)
             self._draining_since.pop(machine, None)
-        self._unrecorded.update(machines)
-        await self._record_terminated()
+        self._unrecorded_terminations.update(machines)
+        await self._record_terminations()
 
-    async def _record_terminated(self) -> None:
-        """Commit which machines are terminated; those that can't be committed are kept for the next call."""
-        if not self._unrecorded:
+    async def _record_terminations(self) -> None:
+        """Commit which machines are terminated; terminations that can't be committed are kept for the next call."""
+        if not self._unrecorded_terminations:
             return
-        changes = self._terminated_updates()
-        written = set(self._unrecorded)
+        changes = self._termination_record_updates()
+        written = set(self._unrecorded_terminations)
         if await self._transactions.commit_all(changes):
-            self._unrecorded -= written
+            self._unrecorded_terminations -= written
 
-    def _terminated_updates(self) -> list[Put | Delete]:
+    def _termination_record_updates(self) -> list[Put | Delete]:
         now = self._clock.wall_ms()
         changes: list[Put | Delete] = []
-        remaining = set(self._unrecorded)
+        remaining = set(self._unrecorded_terminations)
         for key, record in self._draining.records().items():
             terminated = remaining & record.draining.keys()
             if terminated:
--- a/src/cloverplank/leader/scale_out.py
+++ b/src/cloverplank/leader/scale_out.py
@@ -1,4 +1,4 @@
-"""Scale out: machines are provisioned for tasks that lack capacity."""
+"""Scale out: provisions machines for tasks that lack capacity."""
 
 from __future__ import annotations
 
@@ -27,24 +27,31 @@
 log = logging.getLogger(__name__)
 
 MAX_REQUESTS_PER_CYCLE = 2
-NO_RESPONSE_TIMEOUT_MS = 30_000  # a request without any response is given up after this
+NO_RESPONSE_TIMEOUT_MS = 30_000  # a request that gets no response is abandoned after this time
 MIN_PROVISIONING_TTL_S = 60.0
-PROVISIONING_TTL_LIST_LAGS = 6  # a record is kept for at least this many lags of the cloud's machine list
+PROVISIONING_TTL_LIST_LAGS = 6  # a provisioning record is kept for at least this many lags of the machine list
 
 
 class ScaleOutLimits(Struct, frozen=True):
-    """`max_machines` in the cluster; `list_lag_s`: by how much the cloud's machine list may lag."""
+    """Limits of scale out.
+
+    `max_machines`: how many machines the cluster may have. `list_lag_s`: by how many seconds the cloud's machine list
+    may lag.
+    """
 
     max_machines: int
     list_lag_s: float
 
     def provisioning_ttl_ms(self) -> float:
-        """Return the age in ms beyond which a provisioning record is a leftover."""
+        """Return the age in ms beyond which a provisioning record is expired."""
         return MS_PER_SECOND * max(MIN_PROVISIONING_TTL_S, PROVISIONING_TTL_LIST_LAGS * self.list_lag_s)
 
 
 class ScaleOut:
-    """Provisions machines while this controller leads. `unmet_demands` returns those of the latest scheduling cycle."""
+    """Provisions machines while this controller leads.
+
+    `unmet_demands` returns the unmet demands of the latest scheduling cycle.
+    """
 
     def __init__(
         self,
@@ -74,28 +81,29 @@
         self._sequence = 0
 
     async def scale_out(self) -> None:
-        """Finish the requests that are recorded, and provision machines for unmet demands."""
-        mod_revision = self._controller_lease.leadership_revision()
-        if mod_revision is None:
+        """Resume the recorded requests, and provision machines for unmet demands."""
+        leadership_revision = self._controller_lease.leadership_revision()
+        if leadership_revision is None:
             return
         for name, (provisioning, _) in self._watch_cache.list_records(keys.PROVISIONING, ProvisioningRecord).items():
-            await self._continue(name, provisioning)
+            await self._resume_request(name, provisioning)
         if not self._unmet_demands():
             return
-        for request in self._requests()[:MAX_REQUESTS_PER_CYCLE]:
-            if not await self._start(request, mod_revision):
+        for request in self._plan_requests()[:MAX_REQUESTS_PER_CYCLE]:
+            if not await self._start_request(request, leadership_revision):
                 return
 
-    async def _continue(self, name: str, provisioning: ProvisioningRecord) -> None:
+    async def _resume_request(self, name: str, provisioning: ProvisioningRecord) -> None:
         if self._clock.wall_ms() - provisioning.requested_at > self._limits.provisioning_ttl_ms():
-            # Long over, and its machines are in the list: a late copy of its transaction created the record again.
-            await self._forget(name)
+            # The request was completed long ago and its machines are in the list: a late copy of its transaction
+            # created the record again.
+            await self._delete_record(name)
         elif not provisioning.machines:
-            await self._request(name, provisioning)  # started by a former leader, or not answered
+            await self._send_request(name, provisioning)  # a former leader recorded it, or the cloud did not respond
         elif all(self._is_known(machine) for machine in provisioning.machines):
-            await self._forget(name)
+            await self._delete_record(name)
 
-    def _requests(self) -> list[ScaleOutRequest]:
+    def _plan_requests(self) -> list[ScaleOutRequest]:
         unmet_demands = self._unmet_demands()
         rules = ScaleOutRules(
             types=self._machines.types(),
@@ -106,9 +114,10 @@
         return scale_out_requests(unmet_demands, rules)
 
     def _max_on_demand_tasks(self, unmet_demands: Sequence[UnmetDemand]) -> Callable[[UnmetDemand], int]:
-        """Return how many tasks of a demand may take on-demand machines in place of spot ones.
+        """Return the function that gives how many tasks of a demand may use on-demand machines in place of spot ones.
 
-        It is computed on first use, since it goes through all machines and is not needed while there is spot capacity.
+        The numbers are computed on first use, because the computation iterates over all machines and is not needed
+        while there is spot capacity.
         """
         allowed: dict[int, int] | None = None
 
@@ -120,11 +129,11 @@
 
         return max_tasks
 
-    async def _start(self, request: ScaleOutRequest, mod_revision: ModRevision) -> bool:
+    async def _start_request(self, request: ScaleOutRequest, leadership_revision: ModRevision) -> bool:
         """Record a request and send it; return False if it can't be recorded."""
         self._sequence += 1
-        # The revision of the leadership makes the name unique among all leaders.
-        name = f"r-{mod_revision}-{self._sequence}"
+        # The leadership's revision makes the name unique among the requests of all leaders.
+        name = f"r-{leadership_revision}-{self._sequence}"
         pool = request.pool
         log.info("scale out %s: %d %s in %s, %s", name, request.count, pool.type, pool.zone, pool.purchase_option())
         provisioning = ProvisioningRecord(
@@ -132,17 +141,17 @@
         )
         if not await self._transactions.commit([Put(keys.provisioning(name), provisioning)]):
             return False
-        await self._request(name, provisioning)
+        await self._send_request(name, provisioning)
         return True
 
     def _is_known(self, machine: str) -> bool:
-        """Return whether a provisioned machine was listed or heard from, or is terminated already."""
+        """Return whether a provisioned machine was listed, has sent heartbeats, or is terminated already."""
         entry = self._registry.entries.get(MachineId(machine))
         is_terminated = MachineId(machine) in self._registry.terminated
         return is_terminated or (entry is not None and (entry.listed_at is not None or entry.heard_at is not None))
 
-    async def _request(self, name: str, provisioning: ProvisioningRecord) -> None:
-        """Send a recorded request to the cloud; it is idempotent by its name."""
+    async def _send_request(self, name: str, provisioning: ProvisioningRecord) -> None:
+        """Send a recorded request to the cloud; its name makes it idempotent."""
         pool = pool_of(provisioning)
         request = ProvisionRequest(
             request=name, type=pool.type, zone=pool.zone, spot=pool.spot, count=provisioning.count
@@ -152,13 +161,13 @@
         except InsufficientCapacityError:
             log.info("scale out %s: no capacity for %s in %s, %s", name, pool.type, pool.zone, pool.purchase_option())
             self._pool_backoff.pause(pool)
-            await self._forget(name)
+            await self._delete_record(name)
             return
         except CloudUnavailableError as err:
             log.info("scale out %s: no response: %s", name, err)
             if self._clock.wall_ms() - provisioning.requested_at > NO_RESPONSE_TIMEOUT_MS:
-                # If it is carried out late, its machines show up in the list and in heartbeats.
-                await self._forget(name)
+                # If the cloud still executes it, its machines become known by the machine list and heartbeats.
+                await self._delete_record(name)
             return
         log.info("scale out %s: provisioned machines %s", name, " ".join(machines))
         if len(machines) < provisioning.count:
@@ -166,10 +175,10 @@
         for machine in machines:
             self._registry.requested(machine, pool)
         if machines:
-            finished = msgspec.structs.replace(provisioning, machines=machines)
-            await self._transactions.commit([Put(keys.provisioning(name), finished)])
+            completed = msgspec.structs.replace(provisioning, machines=machines)
+            await self._transactions.commit([Put(keys.provisioning(name), completed)])
         else:
-            await self._forget(name)
+            await self._delete_record(name)
 
-    async def _forget(self, name: str) -> None:
+    async def _delete_record(self, name: str) -> None:
         await self._transactions.commit([Delete(keys.provisioning(name))])
