--- a/src/cloverplank/leader/shard_assignment.py
+++ b/src/cloverplank/leader/shard_assignment.py
@@ -20,11 +20,11 @@
 
 log = logging.getLogger(__name__)
 
-GOSSIP_HEALTHY_S = 2.5  # a peer that missed two gossip periods may have ended: others are preferred
-SMALL_CPU_CORES = 0.4  # with fewer, one controller can't both lead and handle the heartbeats of a zone
-INTRODUCTION_S = 0.5  # a new leader waits this long for gossip of peers that it has never heard
+HEALTHY_GOSSIP_AGE_S = 2.5  # a peer that missed two gossip periods may have stopped, so other candidates are preferred
+SMALL_CPU_CORES = 0.4  # with fewer cores, one controller can't both lead and handle the heartbeats of a zone
+FIRST_GOSSIP_GRACE_S = 0.5  # a new leader waits this long for members from which it has never received gossip
 JOIN_GRACE_S = 1.0  # a new leader waits this long for controllers of a zone before it assigns the shard elsewhere
-START_GRACE_S = 10.0  # where no worker waits to be served, it waits this long for controllers that are still starting
+START_GRACE_S = 10.0  # while no worker needs an owner, a new leader waits this long for controllers that start late
 
 
 class AssignmentCandidate(Struct, frozen=True):
@@ -34,26 +34,30 @@
     record: NodeRecord
     mod_revision: ModRevision
     in_zone: bool
-    healthy: bool  # heard within two gossip periods
-    roles: int  # number of shards that it owns, plus one for the leader
-    heard: int  # workers of the zone that send their heartbeats to it
+    healthy: bool  # it sent gossip within the last two gossip periods
+    role_count: int  # number of shards that it owns, plus one for the leader
+    worker_count: int  # workers of the zone that send their heartbeats to it
     damped: bool = False  # a shard was taken from it recently
 
     def preference(self) -> tuple[bool, bool, int, int, NodeId]:
-        """Return the sort key on small machines, where the controller with the fewest roles is preferred."""
-        return self.in_zone, self.healthy, -self.roles, self.heard, self.node
+        """Return the sort key for small machines, where the controller with the fewest roles is preferred."""
+        return self.in_zone, self.healthy, -self.role_count, self.worker_count, self.node
 
     def preference_if_leader(self, leader: NodeId) -> tuple[bool, bool, bool, int, NodeId]:
-        """Return the sort key on large machines: the leader allocates and places a job in one commit."""
-        return self.in_zone, self.healthy, self.node == leader, self.heard, self.node
+        """Return the sort key for large machines, where the leader is preferred.
+
+        A leader that owns the shard allocates and places a job in one commit.
+        """
+        return self.in_zone, self.healthy, self.node == leader, self.worker_count, self.node
 
 
 class ShardAssigner:
     """Assigns shards while this controller leads.
 
-    `cpu_cores`: of the machine that it runs on. `controller_zones`: the zone of each configured controller.
-    `peers`: the latest gossip of each. `is_damped`: whether a controller is assigned a shard only if there is no other.
-    `has_workers`: whether a zone has workers, as far as this controller knows.
+    `cpu_cores`: the CPU cores of the machine that this controller runs on. `controller_zones`: the zone of each
+    configured controller. `peers`: the latest gossip of each peer. `is_damped`: returns whether a controller is
+    assigned a shard only if there is no other candidate. `has_workers`: returns whether a zone has workers, as far as
+    this controller knows.
     """
 
     def __init__(
@@ -80,42 +84,42 @@
         self._is_damped = is_damped
         self._controller_zones = controller_zones
         self._has_workers = has_workers
-        self._led_revision: ModRevision | None = None
+        self._last_leadership_revision: ModRevision | None = None
         self._led_since = MonotonicTime(0.0)
 
     def led_for_s(self) -> float:
-        """Return for how many seconds this controller has led, if it does."""
+        """Return for how many seconds this controller has led; only valid while it leads."""
         return self._clock.monotonic() - self._led_since
 
     async def assign_shards(self) -> None:
-        """Assign each shard that has no owner."""
-        mod_revision = self._controller_lease.leadership_revision()
-        if mod_revision is None:
-            self._led_revision = None
+        """Assign each shard without an owner to the best candidate, unless a better one may still join."""
+        leadership_revision = self._controller_lease.leadership_revision()
+        if leadership_revision is None:
+            self._last_leadership_revision = None
             return
-        if mod_revision != self._led_revision:
-            self._led_revision, self._led_since = mod_revision, self._clock.monotonic()
+        if leadership_revision != self._last_leadership_revision:
+            self._last_leadership_revision, self._led_since = leadership_revision, self._clock.monotonic()
         for zone in self._zones:
             if self._watch_cache.mod_revision(keys.shard(zone)):
                 continue
-            candidate = self._candidate(zone)
+            candidate = self._select_candidate(zone)
             if candidate is not None:
-                await self._assign(zone, candidate, mod_revision)
+                await self._assign(zone, candidate, leadership_revision)
 
-    def replacement(self, zone: Zone, former: NodeId) -> AssignmentCandidate | None:
-        """Return the healthy controller that is best to take over a shard from one that is judged faulty."""
+    def replacement(self, zone: Zone, former_owner: NodeId) -> AssignmentCandidate | None:
+        """Return the best healthy controller to take over a shard from one that is judged faulty; None without one."""
         candidates = (
             candidate
             for candidate in self._candidates(zone)
-            if candidate.node != former and candidate.healthy and not candidate.damped
+            if candidate.node != former_owner and candidate.healthy and not candidate.damped
         )
         return max(candidates, key=self._preference, default=None)
 
-    async def _assign(self, zone: Zone, candidate: AssignmentCandidate, leader: ModRevision) -> None:
+    async def _assign(self, zone: Zone, candidate: AssignmentCandidate, leadership_revision: ModRevision) -> None:
         key = keys.shard(zone)
         lease = candidate.record.lease
         compares = [
-            Compare(keys.LEADER, leader),
+            Compare(keys.LEADER, leadership_revision),
             Compare(key, 0),
             Compare(keys.node(candidate.node), candidate.mod_revision),
         ]
@@ -123,16 +127,16 @@
         try:
             response = await self._queue.commit(Transaction(compares, [put]), TransactionPriority.LEASE, once=True)
         except StoreError as err:
-            log.debug("assignment of shard %s to %s: %s", zone, candidate.node, err)
+            log.debug("assignment of shard %s to %s failed: %s", zone, candidate.node, err)
             return
         if not response.conflicts:
             log.info("assignment: shard %s to %s, token %d", zone, candidate.node, response.revision)
 
-    def _candidate(self, zone: Zone) -> AssignmentCandidate | None:
-        """Return the best candidate for a shard, or None while a better one may still show up.
+    def _select_candidate(self, zone: Zone) -> AssignmentCandidate | None:
+        """Return the best candidate for a shard, or None while a better one may still join.
 
-        On small machines that is the one with the fewest roles: the heartbeats of a zone take most of one, and the
-        leader has scheduling cycles and scaling to do.
+        On small machines the controller with the fewest roles is preferred: the heartbeats of a zone take most of such
+        a machine's CPU, and the leader also runs scheduling cycles and scaling.
         """
         best = max(
             self._candidates(zone),
@@ -142,15 +146,15 @@
         if best is None:
             return None
         if not best.in_zone and self.led_for_s() < JOIN_GRACE_S:
-            return None  # one in the zone may be about to join
-        if best.node == self._controller_lease.node_id and self._awaits_peers(zone):
+            return None  # a controller in the zone may be about to join
+        if best.node == self._controller_lease.node_id and self._must_wait_for_peers(zone):
             return None
         return best
 
     def _candidates(self, zone: Zone) -> Iterator[AssignmentCandidate]:
         now = self._clock.monotonic()
         for name, (record, mod_revision) in self._watch_cache.list_records(keys.NODES, NodeRecord).items():
-            candidate = self._as_candidate(zone, NodeId(name), record, mod_revision, now)
+            candidate = self._to_candidate(zone, NodeId(name), record, mod_revision, now)
             if candidate is not None:
                 yield candidate
 
@@ -159,37 +163,37 @@
             return candidate.preference()
         return candidate.preference_if_leader(self._controller_lease.node_id)
 
-    def _awaits_peers(self, zone: Zone) -> bool:
-        """Return whether a controller that might be preferred to this one may be about to join or to be heard.
+    def _must_wait_for_peers(self, zone: Zone) -> bool:
+        """Return whether a controller that might be preferred to this one may be about to join or to send gossip.
 
-        Once a leader owns a shard, too, it keeps both roles. So it waits for all configured controllers as long as that
-        costs nothing, and only for those that have joined where workers wait for an owner.
+        A leader that is assigned a shard keeps both roles. So it waits for all configured controllers while no worker
+        needs an owner, because waiting then costs nothing; otherwise it waits only for those that have joined.
         """
         if not self._separate_leader:
             return False
-        if self.led_for_s() < INTRODUCTION_S and self._has_unheard_member(zone):
+        if self.led_for_s() < FIRST_GOSSIP_GRACE_S and self._has_member_without_gossip(zone):
             return True
-        return self.led_for_s() < START_GRACE_S and self._has_absent_peer(zone) and not self._has_workers(zone)
+        return self.led_for_s() < START_GRACE_S and self._has_missing_peer(zone) and not self._has_workers(zone)
 
-    def _has_unheard_member(self, zone: Zone) -> bool:
-        """Return whether another controller of the zone has joined and has never been heard."""
+    def _has_member_without_gossip(self, zone: Zone) -> bool:
+        """Return whether another controller of the zone has joined without any gossip from it being received yet."""
         return any(
             record.zone == zone and node != self._controller_lease.node_id and node not in self._peers
             for node, record in self._controller_lease.members().items()
         )
 
-    def _has_absent_peer(self, zone: Zone) -> bool:
-        """Return whether a configured controller that might be preferred has not joined, or was never heard."""
+    def _has_missing_peer(self, zone: Zone) -> bool:
+        """Return whether a configured controller that might be preferred has not joined or has never sent gossip."""
         node_id = self._controller_lease.node_id
         is_in_zone = self._controller_zones[node_id] == zone
         members = self._controller_lease.members()
         return any(
             node not in members or node not in self._peers
-            for node, home in self._controller_zones.items()
-            if node != node_id and (home == zone or not is_in_zone)
+            for node, controller_zone in self._controller_zones.items()
+            if node != node_id and (controller_zone == zone or not is_in_zone)
         )
 
-    def _as_candidate(
+    def _to_candidate(
         self, zone: Zone, node: NodeId, record: NodeRecord, mod_revision: ModRevision, now: MonotonicTime
     ) -> AssignmentCandidate | None:
         """Return the controller as a candidate; None if it declines assignments."""
@@ -203,14 +207,14 @@
             gossip = None
         if gossip is not None and gossip.message.declines_assignments:
             return None
-        roles = sum(self._controller_lease.shard_owner(other) == node for other in self._zones)
+        owned_shards = sum(self._controller_lease.shard_owner(other) == node for other in self._zones)
         return AssignmentCandidate(
             node,
             record,
             mod_revision,
             in_zone=record.zone == zone,
-            healthy=is_self or (gossip is not None and now - gossip.received_at < GOSSIP_HEALTHY_S),
-            roles=roles + is_self,
-            heard=0 if gossip is None else gossip.message.worker_counts.get(zone, 0),
+            healthy=is_self or (gossip is not None and now - gossip.received_at < HEALTHY_GOSSIP_AGE_S),
+            role_count=owned_shards + is_self,
+            worker_count=0 if gossip is None else gossip.message.worker_counts.get(zone, 0),
             damped=self._is_damped(node),
         )
--- a/tests/leader/test_shard_assignment.py
+++ b/tests/leader/test_shard_assignment.py
@@ -1,4 +1,4 @@
-"""Which controller the leader assigns a shard to: on small machines the heartbeats of a zone and leading are kept apart."""
+"""Shard assignment: which controller the leader prefers. On small machines, leader and shard owner are separate."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 SMALL_CPU = SMALL_CPU_CORES / 2
 LARGE_CPU = SMALL_CPU_CORES * 2
 HEALTHY = AssignmentCandidate(
-    NodeId("c-0"), NodeRecord("zone-0", 7), ModRevision(1), in_zone=True, healthy=True, roles=0, heard=0
+    NodeId("c-0"), NodeRecord("zone-0", 7), ModRevision(1), in_zone=True, healthy=True, role_count=0, worker_count=0
 )
 
 
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_leader_owns_no_shard_while_another_controller_of_the_zone_is_healthy(seed: int) -> None:
-    """On small machines: one process could not handle a zone's heartbeats and the leader's cycles at once."""
+    """On a small machine, one process can't handle both a zone's heartbeats and the leader's scheduling cycles."""
 
     async def main() -> None:
         world = World(seed, cpu=SMALL_CPU)
@@ -65,21 +65,23 @@
 @pytest.mark.parametrize(
     ("better", "worse"),
     [
-        pytest.param({"roles": 2}, {"healthy": False}, id="health goes before roles"),
-        pytest.param({}, {"roles": 1}, id="fewer roles are preferred"),
-        pytest.param({"healthy": False, "roles": 3}, {"in_zone": False}, id="the zone goes before health and roles"),
-        pytest.param({"heard": 5}, {}, id="more workers heard are preferred"),
+        pytest.param({"role_count": 2}, {"healthy": False}, id="health takes precedence over roles"),
+        pytest.param({}, {"role_count": 1}, id="fewer roles are preferred"),
+        pytest.param(
+            {"healthy": False, "role_count": 3}, {"in_zone": False}, id="zone takes precedence over health and roles"
+        ),
+        pytest.param({"worker_count": 5}, {}, id="more workers are preferred"),
     ],
 )
 def test_candidate_preference(better: dict, worse: dict) -> None:
-    """A controller that has just ended still has its lease: health decides before the load."""
+    """A controller that has just stopped still holds its lease, so health takes precedence over load."""
     preferred = msgspec.structs.replace(HEALTHY, **better)
     assert preferred.preference() > msgspec.structs.replace(HEALTHY, **worse).preference()
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_leader_owns_the_shard_on_large_machines(seed: int) -> None:
-    """A job's zone allocation and its placement are then one commit."""
+    """If the leader owns the shard, a job's zone allocation and its placement take a single commit."""
 
     async def main() -> None:
         world = World(seed, cpu=LARGE_CPU)
@@ -90,25 +92,28 @@
 
 
 def start_late(world: World, delays_s: dict[str, float]) -> None:
-    """Have controllers of a world that was just made start after so many seconds, as on a busy machine."""
+    """Delay the start of controllers of a new world, each by its number of seconds, as on a busy machine."""
     for label, delay_s in delays_s.items():
         world.crash(label)
         world.loop.call_later(delay_s, world.start, label)
 
 
 def first_assignment(world: World, zone: str) -> tuple[str, str]:
-    """Return the first owner of a zone's shard, and the leader that it was assigned by."""
-    lead = ""
+    """Return the first owner of a zone's shard, and the leader that assigned it."""
+    assigning_leader = ""
     for change in world.state.log:
         if change.get("put") == keys.LEADER:
-            lead = change["value"]["node"]
+            assigning_leader = change["value"]["node"]
         if change.get("put") == keys.shard(zone):
-            return change["value"]["node"], lead
-    raise AssertionError(f"{zone} has no owner")
+            return change["value"]["node"], assigning_leader
+    raise AssertionError(f"shard {zone} was never assigned to a controller")
 
 
-async def until_assigned(world: World, zone: str, within_s: float) -> float:
-    """Wait until a zone's shard has an owner; return the seconds that it took."""
+async def wait_until_assigned(world: World, zone: str, within_s: float) -> float:
+    """Wait until a zone's shard has an owner, and return how many seconds that took.
+
+    Raises TimeoutError after `within_s` seconds.
+    """
     began_at = world.now()
     async with asyncio.timeout(within_s):
         while keys.shard(zone) not in world.state.items:
@@ -116,7 +121,7 @@
     return world.now() - began_at
 
 
-# The first leader assigned the shard to itself while its peers were still starting, and kept both roles.
+# Guards against a first leader that assigns the shard to itself while its peers are still starting: it keeps both roles.
 @pytest.mark.parametrize(
     "delays_s",
     [
@@ -130,9 +135,9 @@
     async def main() -> None:
         world = World(3, cpu=SMALL_CPU)
         start_late(world, delays_s)
-        await until_assigned(world, "zone-0", START_GRACE_S + 2.0)
-        owner, lead = first_assignment(world, "zone-0")
-        assert owner != lead
+        await wait_until_assigned(world, "zone-0", START_GRACE_S + 2.0)
+        owner, assigning_leader = first_assignment(world, "zone-0")
+        assert owner != assigning_leader
 
     run(main())
 
@@ -142,30 +147,35 @@
         world = World(3, cpu=SMALL_CPU)
         for label in ("c-1", "c-2"):
             world.crash(label)
-        took_s = await until_assigned(world, "zone-0", START_GRACE_S + 2.0)
+        took_s = await wait_until_assigned(world, "zone-0", START_GRACE_S + 2.0)
         assert took_s >= START_GRACE_S / 2
         assert first_assignment(world, "zone-0") == ("c-0", "c-0")
 
     run(main())
 
 
-def test_wait_for_peers_ends_as_soon_as_a_worker_is_heard() -> None:
-    """Machines may be up within a second; without an owner nobody would answer them."""
+def test_wait_for_peers_ends_with_the_first_heartbeat_of_a_worker() -> None:
+    """Machines may be up within a second, and without a shard owner no controller responds to their heartbeats."""
 
     async def main() -> None:
         world = World(3, cpu=SMALL_CPU)
         for label in ("c-1", "c-2"):
             world.crash(label)
         world.boot("small", "zone-0", spot=False)
-        heard_after_s = max(machine.up_at for machine in world.machines.values()) - world.now()
-        assert await until_assigned(world, "zone-0", START_GRACE_S) < heard_after_s + 2.5 * world.report_s
-        assert heard_after_s + 2.5 * world.report_s < START_GRACE_S + 3.0
+        first_heartbeat_after_s = max(machine.up_at for machine in world.machines.values()) - world.now()
+        assert (
+            await wait_until_assigned(world, "zone-0", START_GRACE_S) < first_heartbeat_after_s + 2.5 * world.report_s
+        )
+        assert first_heartbeat_after_s + 2.5 * world.report_s < START_GRACE_S + 3.0
 
     run(main())
 
 
-def test_shard_of_a_zone_without_controllers_is_not_left_to_the_leader_at_a_start() -> None:
-    """The only controllers that could take it are in another zone, and late."""
+def test_first_leader_does_not_own_the_shard_of_a_zone_without_controllers() -> None:
+    """The only controllers that can own the shard are in another zone, and the leader's peers start late.
+
+    A leader must wait for them there, too, instead of assigning the shard to itself.
+    """
 
     async def main() -> None:
         world = World(3, cpu=SMALL_CPU, zones=2, controllers=4)
@@ -176,30 +186,30 @@
         for number, label in enumerate(("c-1", "c-2", "c-3")):
             world.loop.call_later(3.0 + number, world.start, label)
         for zone in world.zones:
-            await until_assigned(world, zone, START_GRACE_S + 2.0)
-            owner, lead = first_assignment(world, zone)
-            assert owner != lead
+            await wait_until_assigned(world, zone, START_GRACE_S + 2.0)
+            owner, assigning_leader = first_assignment(world, zone)
+            assert owner != assigning_leader
 
     run(main())
 
 
-def test_leader_that_is_replaced_while_it_waits_leaves_no_shard_behind() -> None:
+def test_shard_is_assigned_if_the_leader_is_replaced_while_it_waits() -> None:
     async def main() -> None:
         world = World(3, cpu=SMALL_CPU)
         start_late(world, {"c-1": 2.0, "c-2": 6.0})
         await asyncio.sleep(1.5)
         assert keys.shard("zone-0") not in world.state.items
         world.spawn(world.restart("c-0", 7.0))
-        await until_assigned(world, "zone-0", 2 * START_GRACE_S)
-        owner, lead = first_assignment(world, "zone-0")
-        assert owner != lead
+        await wait_until_assigned(world, "zone-0", 2 * START_GRACE_S)
+        owner, assigning_leader = first_assignment(world, "zone-0")
+        assert owner != assigning_leader
 
     run(main())
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_workers_wait_no_longer_for_an_owner_after_all_controllers_restart(seed: int) -> None:
-    """Two of three stay away: with workers running, the third must not wait for them."""
+    """Two of three controllers do not restart: while workers run, the third must not wait for them."""
 
     async def main() -> None:
         world = World(seed, cpu=SMALL_CPU)
@@ -209,10 +219,10 @@
         for label in world.labels:
             world.crash(label)
         world.state.expire()
-        await asyncio.sleep(6.0)  # longer than their leases
+        await asyncio.sleep(6.0)  # longer than the leases of the controllers
         world.state.expire()
         assert keys.shard("zone-0") not in world.state.items
         world.start("c-0")
-        assert await until_assigned(world, "zone-0", START_GRACE_S) < 1.5
+        assert await wait_until_assigned(world, "zone-0", START_GRACE_S) < 1.5
 
     run(main())
