--- a/src/cloverplank/leader/zone_allocation.py
+++ b/src/cloverplank/leader/zone_allocation.py
@@ -1,4 +1,4 @@
-"""Zone allocation: how many tasks of each job may run in which zone, under the teams' quotas."""
+"""Zone allocation: the number of tasks that each job may run in each zone, under the teams' quotas."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
     team_quotas: dict[str, Quota]
 
 
-class _Cycle(Struct, eq=False):
-    """What one scheduling cycle works on."""
+class _AllocationCycle(Struct, eq=False):
+    """The inputs and the unmet demands of one scheduling cycle."""
 
     conditions: list[Compare]
-    max_tasks: dict[JobId, int]  # by job, within the team's quota
+    max_tasks: dict[JobId, int]  # how many tasks each job may have within its team's quota
     headroom_jobs: list[QueuedJob]
     capacity_index: CapacityIndex
     can_scale_out: Callable[[Zone], bool]
@@ -53,8 +53,8 @@
 class ZoneAllocator:
     """Allocates tasks to zones while this controller leads.
 
-    `unmet_demands` and `needed_machines` are the outcome of the latest cycle: what lacks capacity, and the machines
-    that queued jobs count on.
+    `unmet_demands` and `needed_machines` are results of the latest cycle: the tasks that lack capacity, and the
+    machines whose capacity is allocated to queued jobs.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         min_cpus = min(
             (job.record.spec.cpus for job in [*headroom_jobs, *queued_jobs] if job.record.missing_count()), default=0.0
         )
-        cycle = _Cycle(
+        cycle = _AllocationCycle(
             conditions=[Compare(keys.LEADER, mod_revision)],
             max_tasks=max_tasks,
             headroom_jobs=headroom_jobs,
@@ -105,18 +105,20 @@
         self.needed_machines = {capacity.machine for capacity in cycle.capacity_index if capacity.used}
 
     def _max_tasks(self, queued_jobs: list[QueuedJob]) -> dict[JobId, int]:
-        """Return how many tasks each queued job may have, next to what jobs outside the queue still hold."""
-        unqueued: dict[str, Quota] = {}
+        """Return how many tasks each queued job may have, given what jobs outside the queue still hold."""
+        held_outside_queue: dict[str, Quota] = {}
         for view in self._store.jobs.values():
             if view.staged.phase is not Phase.OPEN or self._store.cancelled_by_gossip(view.id):
                 spec, held = view.record.spec, view.held()
-                before = unqueued.get(spec.team, Quota(0.0, 0.0))
-                unqueued[spec.team] = Quota(before.cpus + held * spec.cpus, before.gpus + held * spec.gpus)
-        return quotas.task_limits(queued_jobs, lambda job: self._store.jobs[job].held(), self._team_quotas, unqueued)
+                before = held_outside_queue.get(spec.team, Quota(0.0, 0.0))
+                held_outside_queue[spec.team] = Quota(before.cpus + held * spec.cpus, before.gpus + held * spec.gpus)
+        return quotas.task_limits(
+            queued_jobs, lambda job: self._store.jobs[job].held(), self._team_quotas, held_outside_queue
+        )
 
-    def _allocate_all(self, queued_jobs: list[QueuedJob], cycle: _Cycle) -> None:
-        # Headroom goes before work beyond guaranteed quotas: a backlog of such work would otherwise fill whatever is
-        # provisioned for the headroom, and provisioning would never end.
+    def _allocate_all(self, queued_jobs: list[QueuedJob], cycle: _AllocationCycle) -> None:
+        # Headroom takes precedence over work beyond guaranteed quotas: otherwise a backlog of such work would fill
+        # whatever is provisioned for the headroom, and provisioning would never end.
         headroom_reserved = False
         for queued_job in queued_jobs:
             if (
@@ -132,7 +134,7 @@
         if not headroom_reserved:
             self._reserve_headroom(cycle)
 
-    def _allocate(self, queued_job: QueuedJob, cycle: _Cycle) -> None:
+    def _allocate(self, queued_job: QueuedJob, cycle: _AllocationCycle) -> None:
         record = queued_job.record
         view = self._store.jobs[record.id]
         try:
@@ -140,14 +142,14 @@
                 queued_job, cycle.max_tasks[view.id], self._zone_weights, cycle.capacity_index, cycle.can_scale_out
             )
         except Exception:
-            # A fault that one job triggers must not keep all others waiting.
+            # A fault that one job triggers must not block the allocation of all others.
             log.exception("job %s can't be allocated to zones", view.id)
             return
         cycle.unmet_demands += unmet_demands
         if not quotas.covered(record, allocation) and not view.has_pending(Decision.ALLOCATION, Decision.PLACEMENT):
             self._stage(view, allocation, cycle)
 
-    def _stage(self, view: CachedJob, allocation: dict[Zone, int], cycle: _Cycle) -> None:
+    def _stage(self, view: CachedJob, allocation: dict[Zone, int], cycle: _AllocationCycle) -> None:
         pending = PendingChange(
             records.allocate(allocation),
             int(TransactionPriority.PLACE),
@@ -157,7 +159,7 @@
         )
         self._queue.stage(view, pending)
 
-    def _reserve_headroom(self, cycle: _Cycle) -> None:
+    def _reserve_headroom(self, cycle: _AllocationCycle) -> None:
         for queued_job in cycle.headroom_jobs:
             _, unmet_demands = quotas.split_over_zones(
                 queued_job, queued_job.record.spec.tasks, self._zone_weights, cycle.capacity_index, cycle.can_scale_out
@@ -165,7 +167,7 @@
             cycle.unmet_demands += unmet_demands
 
     def _capacity_index(self, plan: ZonePlan, min_cpus: float) -> CapacityIndex:
-        """Return what is free, or will be once it is up, on machines that may take new tasks."""
+        """Return the free capacity of machines that may be assigned new tasks, now or once they are up."""
         types = self._machines.types()
         capacities = self._registered_capacity(types, plan, min_cpus)
         capacities += self._provisioning_capacity(types)
@@ -191,7 +193,7 @@
         return result
 
     def _provisioning_capacity(self, types: dict[str, MachineType]) -> list[FreeCapacity]:
-        """Return the capacity of machines that were requested and have no names yet."""
+        """Return the capacity of machines that are requested but have no names yet."""
         result: list[FreeCapacity] = []
         for name, (provisioning, _) in self._watch_cache.list_records(keys.PROVISIONING, ProvisioningRecord).items():
             machine_type = types.get(provisioning.type)
