--- a/src/cloverplank/autoscaling/cloud.py
+++ b/src/cloverplank/autoscaling/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud's interface."""
+"""Client of the cloud's API."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 PAGE_SIZE = 500
 TIMEOUT_S = 4.0
-PAGES_FRACTION = 0.4  # of the requests a second that pages of the list may take
+PAGES_FRACTION = 0.4  # the fraction of the request rate that pages of the machine list may use
 TOKEN_BUCKET_BURST_S = 1.5
 TOKEN_WAIT_MARGIN_S = 0.01
 
 
 class CloudUnavailableError(CloverplankError):
-    """The cloud gave no response, or none that can be used. `status`: that of the response, if there was one."""
+    """The cloud gave no response or an unusable one. `status`: the HTTP status of the response, if there was one."""
 
     def __init__(self, reason: str, status: int | None = None) -> None:
         super().__init__(reason)
@@ -46,15 +46,15 @@
 
 
 class InsufficientCapacityError(CloverplankError):
-    """The cloud has no machine of the requested pool."""
+    """The cloud has no machine in the requested pool, or rejects the request as malformed."""
 
     def __init__(self, request: ProvisionRequest) -> None:
-        super().__init__(f"no capacity for {request.type} in {request.zone}")
+        super().__init__(f"no capacity for {request.count} {request.type} in {request.zone}")
         self.request = request
 
 
 class _RateLimiter:
-    """Spaces calls evenly at `rate` a second."""
+    """Spaces calls evenly at `rate` calls per second."""
 
     def __init__(self, clock: Clock, rate: float) -> None:
         self._clock = clock
@@ -62,7 +62,7 @@
         self._next_at = clock.monotonic()
 
     async def acquire(self) -> None:
-        """Return when the caller may go on."""
+        """Wait until the caller may make its call."""
         now = self._clock.monotonic()
         slot_at = max(now, self._next_at)
         self._next_at = MonotonicTime(slot_at + self._interval_s)
@@ -71,7 +71,7 @@
 
 
 class CloudClient:
-    """Sends requests to the cloud at `rps` a second at most. Methods raise CloudUnavailableError."""
+    """Sends at most `rps` requests per second to the cloud. All methods raise CloudUnavailableError."""
 
     def __init__(self, http: Http, addr: str, clock: Clock, rps: float) -> None:
         self._http = http
@@ -84,25 +84,34 @@
         return self._decode(await self._request("GET", TYPES_PATH), MachineTypes)
 
     async def provision(self, request: ProvisionRequest) -> list[str]:
-        """Provision machines and return their names; raise InsufficientCapacityError if there are none."""
+        """Provision machines and return their names.
+
+        Raises InsufficientCapacityError if the cloud has no capacity or rejects the request as malformed.
+        """
         response = await self._request("POST", MACHINES_PATH, request)
         if response.status == HTTPStatus.SERVICE_UNAVAILABLE and b"capacity" in response.body:
             raise InsufficientCapacityError(request)
         if response.status == HTTPStatus.BAD_REQUEST:
-            log.error("cloud: request %s called malformed", request.request)
+            log.error(
+                "cloud rejected provisioning request %s as malformed: %d %s in %s",
+                request.request,
+                request.count,
+                request.type,
+                request.zone,
+            )
             raise InsufficientCapacityError(request)
         return self._decode(response, ProvisionResponse).machines
 
     async def terminate(self, machines: Sequence[str]) -> None:
-        """Terminate machines, MAX_TERMINATE at most."""
+        """Terminate the machines; those beyond the first MAX_TERMINATE are ignored."""
         response = await self._request("POST", TERMINATE_PATH, TerminateRequest(list(machines[:MAX_TERMINATE])))
         if response.status != HTTPStatus.OK:
-            raise CloudUnavailableError(str(response.status), response.status)
+            raise CloudUnavailableError(f"HTTP status {response.status}", response.status)
 
     async def machines(self) -> dict[str, ListedMachine]:
-        """Read the whole machine list, by name.
+        """Read the whole machine list and return its machines by name.
 
-        Its pages take a fraction of the requests, so that other requests never wait for a long list.
+        Pages use only a fraction of the request rate, so that other requests never wait for a long list.
         """
         machines: dict[str, ListedMachine] = {}
         after = ""
@@ -131,7 +140,7 @@
     @staticmethod
     def _decode(response: Response, message_type: type[T]) -> T:
         if response.status != HTTPStatus.OK:
-            raise CloudUnavailableError(str(response.status), response.status)
+            raise CloudUnavailableError(f"HTTP status {response.status}", response.status)
         try:
             return decode(response.body, message_type)
         except MessageDecodeError as err:
--- a/src/cloverplank/autoscaling/draining.py
+++ b/src/cloverplank/autoscaling/draining.py
@@ -1,4 +1,4 @@
-"""Machines that are drained or terminated, by the records in the key-value store."""
+"""Machines that are drained or terminated according to the drain records in the key-value store."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     """Why a machine is drained; the values are stored."""
 
     IDLE = "idle"
-    FAILED = "failed"  # by the cloud's list
-    FAULTY = "faulty"  # jobs fail on it
-    SILENT = "silent"  # no heartbeats any more
-    NEVER_UP = "never up"
+    FAILED = "failed"  # the cloud's machine list states that the machine failed
+    FAULTY = "faulty"  # jobs fail on the machine
+    SILENT = "silent"  # the machine has stopped sending heartbeats
+    NEVER_UP = "never up"  # the machine had no contact with a shard owner within its boot timeout
 
 
 class DrainingMachines:
-    """An index by machine of the drain records, each of which names many machines."""
+    """Indexes the drain records, each of which names many machines, by machine."""
 
     def __init__(self, watch_cache: WatchCache) -> None:
         self._watch_cache = watch_cache
@@ -33,7 +33,7 @@
         return machine in self._reasons or machine in self._terminated
 
     def reason(self, machine: MachineId) -> str | None:
-        """Return why a machine is drained; None for one that is not, or is terminated."""
+        """Return why a machine is drained; None if it is not drained or is terminated already."""
         return self._reasons.get(machine)
 
     def is_terminated(self, machine: MachineId) -> bool:
@@ -41,7 +41,7 @@
         return machine in self._terminated
 
     def apply_change(self, key: str) -> list[MachineId]:
-        """Apply the change of a key and return the machines that are terminated since."""
+        """Apply the change of a drain record's key and return the machines that the change marks as terminated."""
         cached = self._watch_cache.get(key, DrainRecord)
         previous = self._by_key.pop(key, None)
         if previous is not None:
--- a/src/cloverplank/autoscaling/machine_pools.py
+++ b/src/cloverplank/autoscaling/machine_pools.py
@@ -1,4 +1,4 @@
-"""Which machines to provision for unmet demand: pure decisions."""
+"""Decides which machines to provision for unmet demands; all functions are pure."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class MachinePool(Struct, frozen=True):
-    """Machines that the cloud provisions alike: of one type, in one zone, spot or on-demand."""
+    """The machines of one type in one zone with one purchase option, spot or on-demand."""
 
     type: str
     zone: Zone
     spot: bool
 
     def purchase_option(self) -> str:
-        """Return the purchase option for log lines."""
+        """Return the name of the purchase option for log lines."""
         return "spot" if self.spot else "on-demand"
 
 
 def pool_of(provisioning: ProvisioningRecord) -> MachinePool:
-    """Return the pool that a recorded request asks for."""
+    """Return the pool from which a recorded request provisions machines."""
     return MachinePool(provisioning.type, Zone(provisioning.zone), provisioning.spot)
 
 
@@ -39,17 +39,18 @@
 
 
 class PricedPool(Struct, frozen=True):
-    """A pool that a job can use, with the price for each of its tasks."""
+    """A pool that a job can use, with the price for each task of the job."""
 
     price_per_task: float
     pool: MachinePool
 
 
 class ScaleOutRules(Struct, frozen=True):
-    """What may be provisioned.
+    """Rules for what may be provisioned.
 
-    `is_paused`: pools that had no capacity recently. `max_on_demand_tasks`: how many tasks of a demand that can use
-    spot machines may take on-demand ones. `max_machines`: in total.
+    `types`: the machine types by name. `is_paused`: returns whether a pool recently had no capacity.
+    `max_on_demand_tasks`: returns how many tasks of a demand that can use spot machines may use on-demand ones.
+    `max_machines`: how many machines may be provisioned in total.
     """
 
     types: Mapping[str, MachineType]
@@ -59,7 +60,7 @@
 
 
 class NewMachine(Struct):
-    """A machine to provision, with its capacity that no task has taken yet."""
+    """A machine to provision, with its capacity that is not allocated to tasks yet."""
 
     pool: MachinePool
     cpus: float
@@ -67,7 +68,7 @@
     memory_gb: float
 
     def allocate(self, spec: JobSpec, max_tasks: int) -> int:
-        """Take capacity for up to `max_tasks` tasks and return how many fit."""
+        """Allocate capacity to up to `max_tasks` tasks and return how many fit."""
         tasks = min(max_tasks, tasks_that_fit(spec, self.cpus, self.gpus, self.memory_gb))
         self.cpus -= tasks * spec.cpus
         self.gpus -= tasks * spec.gpus
@@ -81,12 +82,12 @@
 
 
 def price(machine_type: MachineType, *, spot: bool) -> float:
-    """Return the price of a machine; that of an on-demand one if the type has no spot price."""
+    """Return the price of a machine: the spot price if `spot` and the type has one, otherwise the on-demand price."""
     return machine_type.spot_price if spot and machine_type.spot_price is not None else machine_type.price
 
 
 def matching_pools(spec: JobSpec, zone: Zone, types: Iterable[MachineType]) -> list[PricedPool]:
-    """Return the pools of a zone that a job can use, the cheapest for each task first."""
+    """Return the pools of a zone that a job can use, in ascending order of the price per task."""
     result = []
     for machine_type in types:
         if machine_type.zones and zone not in machine_type.zones:
@@ -99,17 +100,17 @@
             if is_offered and matches_constraints(spec, machine_type.name, zone, spot=spot):
                 pool = MachinePool(machine_type.name, zone, spot)
                 result.append(PricedPool(price(machine_type, spot=spot) / tasks, pool))
-    result.sort(key=lambda priced: (priced.price_per_task, priced.pool.type, priced.pool.spot))
+    result.sort(key=lambda priced_pool: (priced_pool.price_per_task, priced_pool.pool.type, priced_pool.pool.spot))
     return result
 
 
 def scale_out_requests(unmet_demands: Iterable[UnmetDemand], rules: ScaleOutRules) -> list[ScaleOutRequest]:
-    """Return the machines to provision for the demands, which are served in their order."""
+    """Return the machines to provision for the demands, which are served in the given order."""
     return _ScaleOutPlan(rules).requests(unmet_demands)
 
 
 class _ScaleOutPlan:
-    """The machines to provision so far."""
+    """Collects the machines to provision."""
 
     def __init__(self, rules: ScaleOutRules) -> None:
         self._rules = rules
@@ -118,12 +119,12 @@
 
     def requests(self, unmet_demands: Iterable[UnmetDemand]) -> list[ScaleOutRequest]:
         for demand in unmet_demands:
-            missing = self._fill_machines(demand)
+            missing = self._allocate_planned_machines(demand)
             self._add_machines(demand, missing)
         return [ScaleOutRequest(pool, count) for pool, count in self._counts.items()]
 
-    def _fill_machines(self, demand: UnmetDemand) -> int:
-        """Use what is left of the machines so far; return the tasks that are still missing."""
+    def _allocate_planned_machines(self, demand: UnmetDemand) -> int:
+        """Allocate unused capacity of the machines planned so far; return how many tasks still lack capacity."""
         spec, missing = demand.queued_job.record.spec, demand.tasks
         for machine in self._machines:
             pool = machine.pool
@@ -132,25 +133,25 @@
         return missing
 
     def _add_machines(self, demand: UnmetDemand, missing: int) -> None:
-        """Add machines of the cheapest pools that may be used."""
+        """Add machines from the cheapest pools that may be used."""
         spec = demand.queued_job.record.spec
-        for priced in matching_pools(spec, demand.zone, self._rules.types.values()):
-            pool = priced.pool
+        for priced_pool in matching_pools(spec, demand.zone, self._rules.types.values()):
+            pool = priced_pool.pool
             if missing <= 0 or len(self._machines) >= self._rules.max_machines:
                 break
             if self._rules.is_paused(pool):
                 continue
             if spec.spot and not pool.spot:
                 missing = min(missing, self._rules.max_on_demand_tasks(demand))
-            missing = self._add_from_pool(pool, spec, missing)
+            missing = self._add_machines_from_pool(pool, spec, missing)
 
-    def _add_from_pool(self, pool: MachinePool, spec: JobSpec, missing: int) -> int:
-        """Add machines of one pool; return the tasks that are still missing."""
-        size = self._rules.types[pool.type]
+    def _add_machines_from_pool(self, pool: MachinePool, spec: JobSpec, missing: int) -> int:
+        """Add machines from one pool; return how many tasks still lack capacity."""
+        machine_type = self._rules.types[pool.type]
         while (
             missing > 0 and len(self._machines) < self._rules.max_machines and self._counts.get(pool, 0) < MAX_PROVISION
         ):
-            machine = NewMachine(pool, size.cpus, size.gpus, size.memory_gb)
+            machine = NewMachine(pool, machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
             tasks = machine.allocate(spec, missing)
             if tasks <= 0:
                 break
--- a/src/cloverplank/autoscaling/registry.py
+++ b/src/cloverplank/autoscaling/registry.py
@@ -1,4 +1,4 @@
-"""The machine registry: every machine that the cloud, peers or the own shards have named."""
+"""The machine registry: every machine that the cloud, a peer or a shard of this controller has named."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from cloverplank.wire.cloud import ListedMachine
 from cloverplank.wire.gossip import MachineGossip
 
-FORGET_AFTER_S = 30.0  # of absence from the list, next to its lag
-FORGET_AFTER_LIST_LAGS = 3
-TERMINATED_TTL_S = 600.0  # late lists and gossip name terminated machines for a while
+UNLISTED_TTL_S = 30.0  # a machine is removed if the list omits it for this time plus UNLISTED_TTL_LIST_LAGS list lags
+UNLISTED_TTL_LIST_LAGS = 3
+TERMINATED_TTL_S = 600.0  # late machine lists and gossip may still name a terminated machine for this long
 
-# Health as the shard owner gossips it; empty until it does.
+# The health of a machine in its shard owner's gossip; empty until the first gossip about the machine.
 HEALTH_UNKNOWN = ""
 HEALTH_UP = "up"
-HEALTH_UNHEARD = "unheard"
+HEALTH_AWAITING_HEARTBEAT = "unheard"
 HEALTH_SUSPECT = "quiet"
 HEALTH_TAINTED = "tainted"
 HEALTH_LOST = "lost"
 HEALTH_FAULTY = "faulty"
-ASSIGNABLE_HEALTH = frozenset({HEALTH_UNKNOWN, HEALTH_UP, HEALTH_UNHEARD, HEALTH_SUSPECT})
+ASSIGNABLE_HEALTH = frozenset({HEALTH_UNKNOWN, HEALTH_UP, HEALTH_AWAITING_HEARTBEAT, HEALTH_SUSPECT})
 
-# State as the cloud lists it; "hired" until it does.
+# The state of a machine in the cloud's machine list; a requested machine is "hired" until listed.
 STATE_REQUESTED = "hired"
 STATE_BOOTING = "booting"
 STATE_RUNNING = "running"
@@ -31,7 +31,7 @@
 
 
 class MachineEntry(Struct, eq=False):
-    """What is known of one machine; times are of this controller's monotonic clock."""
+    """The known state of one machine; times are readings of this controller's monotonic clock."""
 
     id: MachineId
     zone: Zone
@@ -39,33 +39,37 @@
     type: str
     spot: bool
     state: str = STATE_BOOTING
-    since: MonotonicTime = MonotonicTime(0.0)  # when it was provisioned
-    heard_at: MonotonicTime | None = None  # by its shard owner
+    since: MonotonicTime = MonotonicTime(0.0)  # when it was provisioned, as far as known
+    heard_at: MonotonicTime | None = None  # when its shard owner last had contact with it
     health: str = HEALTH_UNKNOWN
-    termination_announced: bool = False  # the cloud has said that it takes the machine back
+    termination_announced: bool = False  # the cloud has sent a termination notice
     listed_at: MonotonicTime | None = None
     images: frozenset[str] = frozenset()
     gossiped_images: list[str] = field(default_factory=list)
     idle_since: MonotonicTime | None = None
-    up_since: MonotonicTime | None = None  # by its shard owner
+    up_since: MonotonicTime | None = None  # since when its shard owner has reported it as up
 
     def is_up(self) -> bool:
-        """Return whether the machine runs: by its shard owner's word or, until it is heard, by the cloud's list."""
+        """Return whether the machine is up, according to its shard owner or, without gossip, to the machine list."""
         if self.heard_at is not None:
-            return self.health in (HEALTH_UP, HEALTH_UNHEARD)
+            return self.health in (HEALTH_UP, HEALTH_AWAITING_HEARTBEAT)
         return self.state == STATE_RUNNING
 
 
 class MachineRegistry:
-    """All machines by id; `terminated`: when each machine was terminated that late lists and gossip may still name."""
+    """All machines by id.
+
+    `terminated`: the terminated machines that late machine lists and gossip may still name, with the time at which each
+    was terminated.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self.entries: dict[MachineId, MachineEntry] = {}
         self.terminated: dict[MachineId, MonotonicTime] = {}
 
-    def requested(self, name: str, pool: MachinePool) -> None:
-        """Enter a machine that the cloud has provisioned, unless it is known."""
+    def add_requested(self, name: str, pool: MachinePool) -> None:
+        """Add a machine that the cloud has provisioned, unless it is known or terminated already."""
         machine = MachineId(name)
         if machine in self.terminated or machine in self.entries:
             return
@@ -80,7 +84,7 @@
         )
 
     def apply_list(self, machines: dict[str, ListedMachine], lag_s: float) -> None:
-        """Apply the cloud's machine list, which lags by `lag_s` seconds at most."""
+        """Apply the cloud's machine list, which lags by at most `lag_s` seconds."""
         now = self._clock.monotonic()
         for machine in machines.values():
             name = MachineId(machine.id)
@@ -94,22 +98,22 @@
             entry.addr = machine.addr or entry.addr
             entry.state = machine.state
             entry.listed_at = now
-        self._forget_unlisted(machines, now, lag_s)
+        self._remove_unlisted(machines, now, lag_s)
         for name, terminated_at in list(self.terminated.items()):
             if now - terminated_at > TERMINATED_TTL_S:
                 del self.terminated[name]
 
-    def _forget_unlisted(self, machines: dict[str, ListedMachine], now: MonotonicTime, lag_s: float) -> None:
+    def _remove_unlisted(self, machines: dict[str, ListedMachine], now: MonotonicTime, lag_s: float) -> None:
         for name, entry in list(self.entries.items()):
             if name in machines:
                 continue
-            # Lists lag and may be older than the one before: only a long absence counts.
+            # Lists lag, and one may be older than the one before it, so only a long absence removes a machine.
             last_seen_at = max(entry.listed_at or entry.since, entry.heard_at or NEVER)
-            if now - last_seen_at > lag_s * FORGET_AFTER_LIST_LAGS + FORGET_AFTER_S:
+            if now - last_seen_at > lag_s * UNLISTED_TTL_LIST_LAGS + UNLISTED_TTL_S:
                 del self.entries[name]
 
     def apply_gossip(self, message: MachineGossip) -> None:
-        """Apply what the shard owner says of a machine."""
+        """Apply the state of a machine that its shard owner gossips."""
         name = MachineId(message.id)
         if name in self.terminated:
             return
@@ -132,6 +136,6 @@
             entry.images, entry.gossiped_images = frozenset(message.images), message.images
 
     def remove_terminated(self, name: str) -> None:
-        """Remove a machine that is terminated."""
+        """Remove a terminated machine, and ignore late lists and gossip that name it for TERMINATED_TTL_S."""
         self.entries.pop(MachineId(name), None)
         self.terminated[MachineId(name)] = self._clock.monotonic()
--- a/src/cloverplank/leader/machine_list.py
+++ b/src/cloverplank/leader/machine_list.py
@@ -43,7 +43,7 @@
         for provisioning, _ in self._watch_cache.list_records(keys.PROVISIONING, ProvisioningRecord).values():
             pool = pool_of(provisioning)
             for machine in provisioning.machines:
-                self._registry.requested(machine, pool)
+                self._registry.add_requested(machine, pool)
         try:
             machines = await self._cloud.machines()
         except CloudUnavailableError as err:
--- a/src/cloverplank/leader/scale_in.py
+++ b/src/cloverplank/leader/scale_in.py
@@ -25,8 +25,8 @@
 
 MIN_BILLED_S = 58.0  # the cloud bills at least one minute, so idle machines younger than this are kept
 DEFAULT_BOOT_S = 60.0  # assumed for a machine of unknown type
-MIN_BOOT_TIMEOUT_S = 60.0  # a machine without any heartbeat is not drained as "never up" before this time
-HEARTBEAT_TIMEOUT_S = 50.0  # a machine without heartbeats for this long is drained as "silent"
+MIN_BOOT_TIMEOUT_S = 60.0  # a machine that no shard owner has contact with is not drained as "never up" before this
+CONTACT_TIMEOUT_S = 50.0  # a machine whose shard owner has had no contact with it for this long is drained as "silent"
 FAULTY_DRAIN_TIMEOUT_S = 40.0  # after this time, a faulty machine is terminated even if tasks run on it
 DRAIN_GRACE_S = 0.5  # a placement that was in flight when a drain was committed becomes visible within this time
 MAX_DRAINS_PER_CYCLE = 48
@@ -128,7 +128,7 @@
             boot_s = machine_type.boot_s if machine_type else DEFAULT_BOOT_S
             boot_timeout_s = max(MIN_BOOT_TIMEOUT_S, self._operator.never_up_factor * boot_s)
             return DrainReason.NEVER_UP if now - entry.since > boot_timeout_s else None
-        if now - entry.heard_at > HEARTBEAT_TIMEOUT_S:
+        if now - entry.heard_at > CONTACT_TIMEOUT_S:
             return DrainReason.SILENT
         idle_limit_s = self._operator.idle_release_spot_s if entry.spot else self._operator.idle_release_s
         idle_s = -math.inf if entry.idle_since is None else now - entry.idle_since
--- a/src/cloverplank/leader/scale_out.py
+++ b/src/cloverplank/leader/scale_out.py
@@ -145,7 +145,7 @@
         return True
 
     def _is_known(self, machine: str) -> bool:
-        """Return whether a provisioned machine was listed, has sent heartbeats, or is terminated already."""
+        """Return whether a provisioned machine was listed, has had contact with a shard owner, or is terminated."""
         entry = self._registry.entries.get(MachineId(machine))
         is_terminated = MachineId(machine) in self._registry.terminated
         return is_terminated or (entry is not None and (entry.listed_at is not None or entry.heard_at is not None))
@@ -173,7 +173,7 @@
         if len(machines) < provisioning.count:
             self._pool_backoff.pause(pool)
         for machine in machines:
-            self._registry.requested(machine, pool)
+            self._registry.add_requested(machine, pool)
         if machines:
             completed = msgspec.structs.replace(provisioning, machines=machines)
             await self._transactions.commit([Put(keys.provisioning(name), completed)])
--- a/tests/autoscaling/test_machine_pools.py
+++ b/tests/autoscaling/test_machine_pools.py
@@ -1,4 +1,4 @@
-"""Which machines are provisioned for unmet demand."""
+"""Selection of the machines to provision for unmet demands."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 SMALL_ON_DEMAND = MachinePool("small", ZONE, spot=False)
 
 
-def unmet(tasks: int, **fields: object) -> UnmetDemand:
+def unmet_demand(tasks: int, **fields: object) -> UnmetDemand:
     record = JobRecord(spec(**fields) if fields else spec(vcpus=8.0, ram_gb=26.0, pieces=99), WallTimeMs(0))
     return UnmetDemand(QueuedJob(record, guaranteed=False), ZONE, tasks)
 
 
-def requested(
+def requested_machines(
     unmet_demands: list[UnmetDemand],
     paused: frozenset[MachinePool] = frozenset(),
     max_on_demand_tasks: int = 0,
@@ -45,16 +45,16 @@
 @pytest.mark.parametrize(
     ("demand", "expected"),
     [
-        pytest.param(unmet(5), {SMALL_SPOT: 3}, id="spot instances may be used"),
-        pytest.param(unmet(5, loaners=False, vcpus=8.0), {SMALL_ON_DEMAND: 3}, id="on-demand instances only"),
+        pytest.param(unmet_demand(5), {SMALL_SPOT: 3}, id="spot instances may be used"),
+        pytest.param(unmet_demand(5, loaners=False, vcpus=8.0), {SMALL_ON_DEMAND: 3}, id="on-demand instances only"),
     ],
 )
 def test_cheapest_pool_per_task_is_requested(demand: UnmetDemand, expected: dict[MachinePool, int]) -> None:
-    assert requested([demand]) == expected
+    assert requested_machines([demand]) == expected
 
 
 def test_paused_pool_gives_way_to_the_next_cheapest() -> None:
-    assert requested([unmet(5)], frozenset({SMALL_SPOT})) == {LARGE_SPOT: 2}
+    assert requested_machines([unmet_demand(5)], frozenset({SMALL_SPOT})) == {LARGE_SPOT: 2}
 
 
 @pytest.mark.parametrize(
@@ -68,12 +68,12 @@
     max_on_demand_tasks: int, expected: dict[MachinePool, int]
 ) -> None:
     paused = frozenset({SMALL_SPOT, LARGE_SPOT})
-    assert requested([unmet(5)], paused, max_on_demand_tasks=max_on_demand_tasks) == expected
+    assert requested_machines([unmet_demand(5)], paused, max_on_demand_tasks=max_on_demand_tasks) == expected
 
 
 def test_machine_requested_for_one_job_is_filled_up_by_the_next() -> None:
-    assert requested([unmet(1), unmet(1)]) == {SMALL_SPOT: 1}
+    assert requested_machines([unmet_demand(1), unmet_demand(1)]) == {SMALL_SPOT: 1}
 
 
 def test_no_more_machines_are_requested_than_allowed() -> None:
-    assert requested([unmet(50)], max_machines=4) == {SMALL_SPOT: 4}
+    assert requested_machines([unmet_demand(50)], max_machines=4) == {SMALL_SPOT: 4}
--- a/tests/autoscaling/test_registry.py
+++ b/tests/autoscaling/test_registry.py
@@ -1,4 +1,4 @@
-"""The machine registry against machine lists that lag."""
+"""The machine registry with machine lists that lag."""
 
 from __future__ import annotations
 
