--- a/src/cloverplank/autoscaling/registry.py
+++ b/src/cloverplank/autoscaling/registry.py
@@ -39,7 +39,7 @@
     type: str
     spot: bool
     state: str = STATE_BOOTING
-    since: MonotonicTime = MonotonicTime(0.0)  # when it was provisioned, as far as known
+    provisioned_at: MonotonicTime = MonotonicTime(0.0)  # as far as known
     heard_at: MonotonicTime | None = None  # when its shard owner last had contact with it
     health: str = HEALTH_UNKNOWN
     termination_announced: bool = False  # the cloud has sent a termination notice
@@ -80,7 +80,7 @@
             type=pool.type,
             spot=pool.spot,
             state=STATE_REQUESTED,
-            since=self._clock.monotonic(),
+            provisioned_at=self._clock.monotonic(),
         )
 
     def apply_list(self, machines: dict[str, ListedMachine], lag_s: float) -> None:
@@ -93,7 +93,7 @@
             entry = self.entries.get(name)
             if entry is None:
                 entry = MachineEntry(name, Zone(machine.zone), machine.addr, machine.type, machine.spot)
-                entry.since = MonotonicTime(now - machine.age_s - lag_s)
+                entry.provisioned_at = MonotonicTime(now - machine.age_s - lag_s)
                 self.entries[name] = entry
             entry.addr = machine.addr or entry.addr
             entry.state = machine.state
@@ -108,7 +108,7 @@
             if name in machines:
                 continue
             # Lists lag, and one may be older than the one before it, so only a long absence removes a machine.
-            last_seen_at = max(entry.listed_at or entry.since, entry.heard_at or NEVER)
+            last_seen_at = max(entry.listed_at or entry.provisioned_at, entry.heard_at or NEVER)
             if now - last_seen_at > lag_s * UNLISTED_TTL_LIST_LAGS + UNLISTED_TTL_S:
                 del self.entries[name]
 
@@ -121,7 +121,7 @@
         entry = self.entries.get(name)
         if entry is None:
             entry = MachineEntry(name, Zone(message.zone), message.addr, message.type, message.spot)
-            entry.since = MonotonicTime(now - max(0.0, message.silent_s))
+            entry.provisioned_at = MonotonicTime(now - max(0.0, message.silent_s))
             self.entries[name] = entry
         entry.addr = message.addr or entry.addr
         entry.type, entry.spot = message.type or entry.type, message.spot
