--- a/src/cloverplank/autoscaling/registry.py
+++ b/src/cloverplank/autoscaling/registry.py
@@ -40,7 +40,7 @@
     spot: bool
     state: str = STATE_BOOTING
     provisioned_at: MonotonicTime = MonotonicTime(0.0)  # as far as known
-    heard_at: MonotonicTime | None = None  # when its shard owner last had contact with it
+    last_contact_at: MonotonicTime | None = None  # newest heartbeat or command response at its shard owner
     health: str = HEALTH_UNKNOWN
     termination_announced: bool = False  # the cloud has sent a termination notice
     listed_at: MonotonicTime | None = None
@@ -51,7 +51,7 @@
 
     def is_up(self) -> bool:
         """Return whether the machine is up, according to its shard owner or, without gossip, to the machine list."""
-        if self.heard_at is not None:
+        if self.last_contact_at is not None:
             return self.health in (HEALTH_UP, HEALTH_AWAITING_HEARTBEAT)
         return self.state == STATE_RUNNING
 
@@ -108,7 +108,7 @@
             if name in machines:
                 continue
             # Lists lag, and one may be older than the one before it, so only a long absence removes a machine.
-            last_seen_at = max(entry.listed_at or entry.provisioned_at, entry.heard_at or NEVER)
+            last_seen_at = max(entry.listed_at or entry.provisioned_at, entry.last_contact_at or NEVER)
             if now - last_seen_at > lag_s * UNLISTED_TTL_LIST_LAGS + UNLISTED_TTL_S:
                 del self.entries[name]
 
@@ -125,7 +125,7 @@
             self.entries[name] = entry
         entry.addr = message.addr or entry.addr
         entry.type, entry.spot = message.type or entry.type, message.spot
-        entry.heard_at = MonotonicTime(now - message.silent_s)
+        entry.last_contact_at = MonotonicTime(now - message.silent_s)
         if message.state != HEALTH_UP:
             entry.up_since = None
         elif entry.up_since is None:
--- a/src/cloverplank/leader/on_demand_allowance.py
+++ b/src/cloverplank/leader/on_demand_allowance.py
@@ -111,7 +111,7 @@
             zone_capacity = capacity.get(entry.zone)
             if machine_type is None or zone_capacity is None or not self._machines.is_assignable(entry):
                 continue
-            total = zone_capacity.booting if entry.heard_at is None else zone_capacity.running
+            total = zone_capacity.booting if entry.last_contact_at is None else zone_capacity.running
             total.cpus += machine_type.cpus
             for view in self._store.jobs_on(entry.id):
                 spec = view.staged.spec
--- a/src/cloverplank/leader/scale_in.py
+++ b/src/cloverplank/leader/scale_in.py
@@ -124,11 +124,11 @@
             return DrainReason.FAILED
         if entry.health == HEALTH_FAULTY:
             return DrainReason.FAULTY
-        if entry.heard_at is None:
+        if entry.last_contact_at is None:
             boot_s = machine_type.boot_s if machine_type else DEFAULT_BOOT_S
             boot_timeout_s = max(MIN_BOOT_TIMEOUT_S, self._operator.never_up_factor * boot_s)
             return DrainReason.NEVER_UP if now - entry.provisioned_at > boot_timeout_s else None
-        if now - entry.heard_at > CONTACT_TIMEOUT_S:
+        if now - entry.last_contact_at > CONTACT_TIMEOUT_S:
             return DrainReason.SILENT
         idle_limit_s = self._operator.idle_release_spot_s if entry.spot else self._operator.idle_release_s
         idle_s = -math.inf if entry.idle_since is None else now - entry.idle_since
--- a/src/cloverplank/leader/scale_out.py
+++ b/src/cloverplank/leader/scale_out.py
@@ -148,7 +148,9 @@
         """Return whether a provisioned machine was listed, has had contact with a shard owner, or is terminated."""
         entry = self._registry.entries.get(MachineId(machine))
         is_terminated = MachineId(machine) in self._registry.terminated
-        return is_terminated or (entry is not None and (entry.listed_at is not None or entry.heard_at is not None))
+        return is_terminated or (
+            entry is not None and (entry.listed_at is not None or entry.last_contact_at is not None)
+        )
 
     async def _send_request(self, name: str, provisioning: ProvisioningRecord) -> None:
         """Send a recorded request to the cloud; its name makes it idempotent."""
--- a/src/cloverplank/shard/owned_shards.py
+++ b/src/cloverplank/shard/owned_shards.py
@@ -129,7 +129,7 @@
                     await shard.task_reconciler.fence(machine)
 
         # Those heard last come first: machines that are down take a time limit each.
-        heard_at = {entry.id: entry.heard_at or 0.0 for entry in self._registry.entries.values()}
+        heard_at = {entry.id: entry.last_contact_at or 0.0 for entry in self._registry.entries.values()}
         machines = sorted(shard.machines.values(), key=lambda machine: -heard_at.get(machine.id, 0.0))
         await asyncio.gather(*(fence(machine) for machine in machines), return_exceptions=True)
 
--- a/src/cloverplank/zones/observation.py
+++ b/src/cloverplank/zones/observation.py
@@ -75,7 +75,7 @@
     def _count_machines(self, now: MonotonicTime) -> dict[Zone, _MachineCount]:
         counts = {zone: _MachineCount() for zone in self._since}
         for entry in self._registry.entries.values():
-            if entry.heard_at is None or entry.zone not in counts:
+            if entry.last_contact_at is None or entry.zone not in counts:
                 continue  # not known to have ever been up
             count = counts[entry.zone]
             count.machines += 1
@@ -83,7 +83,7 @@
         return counts
 
     def _is_silent(self, entry: MachineEntry, now: MonotonicTime) -> bool:
-        heard_at = entry.heard_at
+        heard_at = entry.last_contact_at
         return entry.health in SILENT_HEALTH or heard_at is None or now - heard_at > self._silent_s
 
     def _observe_zone(
--- a/tests/zones/test_health.py
+++ b/tests/zones/test_health.py
@@ -87,7 +87,7 @@
             now[0] += 1.0
             for entry in registry.entries.values():
                 if entry.zone != silent:
-                    entry.heard_at = clock.monotonic()
+                    entry.last_contact_at = clock.monotonic()
             for zone, observation in observer.observe([]).items():
                 after = health.next_record(records[zone], observation, PACE, clock.wall_ms())
                 if after is not None:
