--- a/src/cloverplank/autoscaling/cloud.py
+++ b/src/cloverplank/autoscaling/cloud.py
@@ -32,7 +32,7 @@
 
 PAGE_SIZE = 500
 TIMEOUT_S = 4.0
-PAGES_FRACTION = 0.4  # the fraction of the request rate that pages of the machine list may use
+LIST_PAGE_RATE_FRACTION = 0.4  # the fraction of the request rate that pages of the machine list may use
 TOKEN_BUCKET_BURST_S = 1.5
 TOKEN_WAIT_MARGIN_S = 0.01
 
@@ -77,7 +77,7 @@
         self._http = http
         self._addr = addr
         self._token_bucket = TokenBucket(rps, clock, burst_s=TOKEN_BUCKET_BURST_S)
-        self._page_limiter = _RateLimiter(clock, rps * PAGES_FRACTION)
+        self._page_limiter = _RateLimiter(clock, rps * LIST_PAGE_RATE_FRACTION)
 
     async def types(self) -> MachineTypes:
         """Read the machine types."""
--- a/tests/simulation/test_many_machines.py
+++ b/tests/simulation/test_many_machines.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from cloverplank.autoscaling.cloud import PAGE_SIZE, PAGES_FRACTION, CloudClient
+from cloverplank.autoscaling.cloud import LIST_PAGE_RATE_FRACTION, PAGE_SIZE, CloudClient
 from cloverplank.autoscaling.registry import MachineRegistry
 from cloverplank.basic_types import Clock, JobId, MachineId, ModRevision, WallTimeMs, Zone
 from cloverplank.jobs import layout, records
@@ -107,7 +107,7 @@
         assert len(await reading) == MACHINES
         assert longest_s < 1.0
         gaps = [later - earlier for earlier, later in zip(service.pages_at, service.pages_at[1:], strict=False)]
-        assert min(gaps) >= 1 / (CLOUD_RPS * PAGES_FRACTION) - 0.01
+        assert min(gaps) >= 1 / (CLOUD_RPS * LIST_PAGE_RATE_FRACTION) - 0.01
 
     run(main())
 
