--- a/src/cloverplank/kvstore/errors.py
+++ b/src/cloverplank/kvstore/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the key-value store and of the client that talks to it."""
+"""Errors raised by the client of the key-value store and by the transaction queue."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 
 
 class StoreError(CloverplankError):
-    """Base of everything that a request to the key-value store can fail with.
+    """Base class of the failures of requests to the key-value store.
 
-    `request` is the method and path of the request, empty where the failure is not that of a single request. `status`
-    is the HTTP status of the response, None where there was no response.
+    `request` is the method and path of the request, empty if the failure does not belong to a single request. `status`
+    is the HTTP status of the response, None if there was no response.
     """
 
     def __init__(self, reason: str = "", *, request: str = "", status: int | None = None) -> None:
         self.reason = reason
         self.request = request
         self.status = status
-        answered = "" if status is None else f"status {status}"
-        super().__init__(": ".join(filter(None, (request, answered, reason))))
+        status_text = "" if status is None else f"status {status}"
+        super().__init__(": ".join(filter(None, (request, status_text, reason))))
 
 
 class StoreUnavailableError(StoreError):
-    """Not executed: over a rate limit, an outage, or no connection."""
+    """The request was not executed: rate limit exceeded, outage, or no connection."""
 
 
 class OutcomeUnknownError(StoreError):
-    """No usable response: executed, not executed, or executed later."""
+    """There was no usable response: the request may have been executed, or may still be executed later."""
 
 
 class LeaseExpiredError(StoreError):
-    """The lease does not exist any more."""
+    """The lease no longer exists."""
 
 
 class LogCompactedError(StoreError):
-    """The part of the change log that a watch starts from does not exist any more."""
+    """The change log no longer contains the revision that a watch starts from."""
 
 
 class TransactionRejectedError(StoreError):
-    """The store called the transaction malformed, too large, or attached to a lease that has expired."""
+    """The store rejected the transaction: malformed, too large, or attached to a lease that has expired."""
 
 
 class QueueFullError(StoreError):
-    """The transaction queue takes no more; nothing was sent."""
+    """The transaction queue is full; nothing was sent."""
--- a/src/cloverplank/kvstore/job_transactions.py
+++ b/src/cloverplank/kvstore/job_transactions.py
@@ -18,7 +18,7 @@
 
 
 class JobTransaction(Struct, frozen=True):
-    """A transaction with the pending changes that it commits."""
+    """A transaction and the pending changes that it commits."""
 
     transaction: Transaction
     committed: list[PendingChange]
@@ -27,7 +27,7 @@
 class JobTransactionBuilder:
     """Merges the pending changes of a job into one transaction.
 
-    `gate` returns the compares that a write of a record shape is conditional on, beside those of the record.
+    `gate` returns the compares that a write of a record shape is conditional on, in addition to those of the record.
     """
 
     def __init__(
@@ -38,9 +38,9 @@
         self._gate = gate
 
     def build(self, job: CachedJob) -> JobTransaction | None:
-        """Return the transaction for all pending changes that still apply, None where none does.
+        """Return the transaction for all pending changes that still apply, None if none does.
 
-        Those that don't are settled and taken back.
+        Changes that no longer apply are settled and unstaged.
         """
         record = job.record
         revisions = {keys.job(job.id): job.mod_revision}
@@ -68,7 +68,7 @@
         return JobTransaction(Transaction(compares, changes), committed)
 
     def _has_conflict(self, pending: PendingChange) -> bool:
-        """Return whether a key that the change is conditional on has changed, such as that of a shard."""
+        """Return whether a key that the change is conditional on, such as a shard's, has changed."""
         return any(
             compare.mod_revision != self._watch_cache.mod_revision(compare.key) for compare in pending.conditions
         )
--- a/src/cloverplank/kvstore/job_transitions.py
+++ b/src/cloverplank/kvstore/job_transitions.py
@@ -1,7 +1,7 @@
-"""Transactions that move a blocked job on: each deletes its key and writes the key that the job moves to.
+"""Transactions that release or cancel a blocked job: each deletes the job's key and writes its next key.
 
-They are conditional on the mod revision of the deleted key alone. What they rest on, upstream jobs that are done or
-cancelled, is final, so such a transaction is right whoever sends it and however late it is executed.
+They are conditional only on the mod revision of the deleted key. The upstream jobs on which they are based are done or
+cancelled, which is final, so such a transaction is correct regardless of its sender and of how late it is executed.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 def job_absent(job: JobId) -> list[Compare]:
-    """Return the compares that no job of this id was accepted: none of the keys that it can be under exists."""
+    """Return the compares that hold if no job with this id was accepted: none of its possible keys exists."""
     return [Compare(key, 0) for key in keys.job_keys(job)]
 
 
 def release(job: BlockedJob, now: WallTimeMs) -> Transaction:
-    """Make the job runnable: all its upstream jobs are done."""
+    """Return the transaction that makes the job runnable, once all its upstream jobs are done."""
     return _move(job, Put(keys.job(job.id), job.record.released(now)))
 
 
 def cancel(job: BlockedJob) -> Transaction:
-    """Cancel the job: its user has asked for that, or an upstream job was cancelled."""
+    """Return the transaction that cancels the job, on its user's request or after an upstream job was cancelled."""
     return _move(job, Put(keys.final(job.id), FinalRecord(Phase.CANCELLED, job.record.spec.tasks)))
 
 
--- a/src/cloverplank/kvstore/keys.py
+++ b/src/cloverplank/kvstore/keys.py
@@ -1,4 +1,4 @@
-"""Names of the keys in the store. All lie under one prefix, so that one watch covers them all."""
+"""Names of the keys in the store. All keys share one prefix, so that a single watch covers them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 FINALS = "cp/fin/"
 PROVISIONING = "cp/hire/"
 DRAINS = "cp/ret/"
-BLOCKED = "cp/wait/"  # jobs that depend on others; versions without DAG dependencies don't read this prefix
+BLOCKED = "cp/wait/"  # jobs that wait for their upstream jobs; versions without job dependencies don't read this prefix
 FORMAT = "cp/format"  # the cluster version as announced to programs that don't read ROLLOUT
 ROLLOUT = "cp/rollout"
 ZONES = "cp/zone/"
@@ -34,7 +34,7 @@
 
 
 def zone(name: str) -> str:
-    """Return the key of a zone's health."""
+    """Return the key of a zone's health record."""
     return ZONES + name.replace(" ", "_")
 
 
@@ -49,12 +49,12 @@
 
 
 def blocked(job_id: str) -> str:
-    """Return the key of a job that depends on others."""
+    """Return the key of a job that waits for its upstream jobs."""
     return BLOCKED + job_id
 
 
 def job_keys(job_id: str) -> list[str]:
-    """Return every key that a job can be under, in the order in which it moves from one to the next."""
+    """Return every key under which a job can be stored, in the order in which it moves between them."""
     return [blocked(job_id), job(job_id), final(job_id)]
 
 
@@ -64,5 +64,5 @@
 
 
 def drain(name: str) -> str:
-    """Return the key of a batch of machines that are scaled in."""
+    """Return the key of a batch of machines that are being scaled in."""
     return DRAINS + name
--- a/src/cloverplank/kvstore/transaction_backlog.py
+++ b/src/cloverplank/kvstore/transaction_backlog.py
@@ -1,4 +1,4 @@
-"""The transactions and jobs that wait to be sent, and which of them goes next."""
+"""The queued transactions and the jobs with pending changes, and the order in which they are sent."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from cloverplank.kvstore.transaction_priority import TransactionPriority
 from cloverplank.wire.kvstore import Transaction, TransactionResponse
 
-MAX_STARVATION_S = 10.0  # for which jobs of lower ranks let others of their priority go first
-STARVED_RANK = -1  # the rank that such a job is served with from then on
+MAX_STARVATION_S = 10.0  # longest time for which a ready job of lower rank yields to others of its priority
+STARVED_RANK = -1  # sorts a job that was ready for longer before all others of its priority
 
 
 class QueuedTransaction(Struct, eq=False):
-    """A transaction that waits to be sent; `retried` until its outcome is known."""
+    """A transaction that waits to be sent; if `retried`, it is sent again until its outcome is known."""
 
     transaction: Transaction
     priority: TransactionPriority
@@ -27,14 +27,14 @@
 
 
 class Selection(Struct, frozen=True):
-    """What is to be sent next."""
+    """The transaction or job to be sent next, and its priority."""
 
     item: QueuedTransaction | CachedJob
     priority: TransactionPriority
 
 
 class _SortKey(Struct, order=True, frozen=True):
-    """The smallest goes first."""
+    """Sort key of a transaction or job; the smallest is sent first."""
 
     priority: int
     rank: int
@@ -42,7 +42,7 @@
 
 
 class TransactionBacklog:
-    """Queued transactions in the order of their arrival, and the jobs with pending changes."""
+    """Queued transactions in order of arrival, and the jobs with pending changes."""
 
     def __init__(self, effective_priorities: EffectivePriorities) -> None:
         self.transactions: list[QueuedTransaction] = []
@@ -53,9 +53,10 @@
         return len(self.transactions) + len(self.jobs)
 
     def select(self, now: MonotonicTime) -> Selection | None:
-        """Return what goes next: by priority, then transactions before jobs, then jobs by rank and by age.
+        """Return what is sent next, None if nothing is ready.
 
-        A job that was ready for MAX_STARVATION_S goes first in its priority.
+        The order is by priority, then transactions before jobs, then jobs by rank, then by the time since when they
+        are ready. A job that has been ready for more than MAX_STARVATION_S precedes all others of its priority.
         """
         item: QueuedTransaction | CachedJob | None = min(self.transactions, key=_priority, default=None)
         best = None if item is None else _SortKey(item.priority, 0, 0.0)  # type: ignore[union-attr]
@@ -83,7 +84,7 @@
         return self._effective_priorities.of(job.record).rank
 
     def count_by_priority(self) -> Counter[str]:
-        """Return how many transactions and jobs wait, by the names of their priorities."""
+        """Return the number of waiting transactions and jobs by the name of their priority, in lower case."""
         counts = Counter(queued.priority.name.lower() for queued in self.transactions)
         for job in self.jobs.values():
             priority = min((pending.priority for pending in job.pending), default=TransactionPriority.DONE)
@@ -96,7 +97,7 @@
 
 
 def _ready_change(job: CachedJob, now: MonotonicTime) -> tuple[int, MonotonicTime] | None:
-    """Return the highest priority among the ready changes of a job, and since when the first of them was ready."""
+    """Return the highest priority among the ready changes of a job, and the time at which the first became ready."""
     priority, ready_at = None, now
     for pending in job.pending:
         if pending.ready_at <= now:
