--- a/src/cloverplank/kvstore/controller_lease.py
+++ b/src/cloverplank/kvstore/controller_lease.py
@@ -1,7 +1,7 @@
-"""This controller's lease in the key-value store, and what is attached to it: leadership and shards.
+"""This controller's lease in the key-value store, and the leadership and shards attached to it.
 
-A shard owner answers its zone's workers. While the store is unreachable it goes on answering them for a bounded time
-since its last contact (`LeaseState.GRACE`), without starting anything.
+A shard owner answers its zone's workers. While the store is unreachable, it continues to answer them for a bounded time
+after its last contact (`LeaseState.GRACE`), but starts no tasks.
 """
 
 from __future__ import annotations
@@ -31,59 +31,62 @@
 from cloverplank.wire.kvstore import Compare, Delete, KeyValue, Put, Transaction
 
 JOIN_INTERVAL_S = 0.1
-INCOMPATIBLE_RETRY_S = 1.0  # between two reads of a cluster version that this process does not support
+INCOMPATIBLE_RETRY_S = 1.0  # time between join attempts while the cluster version is not supported
 FAILED_RENEWAL_RETRY_S = 0.3
 RENEWALS_PER_LEASE = 5
 RENEWAL_TIMEOUTS_PER_LEASE = 4
-LEASE_MARGIN_S = 0.05  # by which the lease ends earlier here than in the store
+LEASE_MARGIN_S = 0.05  # the lease is treated as expired this much before it expires in the store
 
 log = logging.getLogger(__name__)
 
 
 class LeaseState(Enum):
-    """What this controller may do, by the time since its last contact with the store."""
+    """State of the lease by the time since the last contact with the store; limits what this controller may do."""
 
     JOINING = "joining"  # no lease yet
     ACTIVE = "active"  # the lease is valid by the local clock
-    GRACE = "grace"  # the lease may have expired; workers are answered, nothing is started
-    EXPIRED = "expired"  # too long without contact: nothing may be answered
+    GRACE = "grace"  # the lease may have expired: workers are answered, but no tasks are started
+    EXPIRED = "expired"  # too long without contact: workers are not answered either
 
 
 class Admission(Struct, frozen=True):
-    """Whether a process may join the cluster, and the compares that a join is conditional on."""
+    """The decision whether a process may join the cluster, and the compares that its join is conditional on.
+
+    `refusal` is the reason why it may not join, None if it may.
+    """
 
     refusal: str | None
     conditions: list[Compare]
 
 
 class VersionFence(Protocol):
-    """Keeps a process out of the cluster that does not support the committed version."""
+    """Prevents a process that does not support the committed cluster version from joining the cluster."""
 
     async def admission(self) -> Admission:
-        """Read the committed version from the store. Raises StoreError without it."""
+        """Read the committed version from the store. Raises StoreError if it can't be read."""
 
     def refusal(self) -> str | None:
-        """Return why this process may not serve, as far as it knows; None where it may."""
+        """Return why this process may not serve, None if it may, as of the last check."""
 
     def check_committed(self) -> str | None:
-        """Return the same for a process that has joined, by its watch cache."""
+        """Check the version in the watch cache of a process that has joined; return as `refusal`."""
 
     def refuse(self, refusal: str | None) -> None:
-        """Note why this process may not join; None: it may."""
+        """Set the reason why this process may not join, None if it may."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class LeaseTimes:
-    """Seconds for which a lease is valid, and for which its owner answers workers without contact."""
+    """Validity of a lease in seconds, and the seconds after the last contact for which its owner answers workers."""
 
     lease_s: float
     grace_s: float
 
 
 class ControllerLease:
-    """The lease of this controller with its states, leadership, and the shards assigned to it.
+    """The lease of this controller, its state, and the leadership and shards attached to it.
 
-    `goal` is the cluster version that the operators want; None where rollouts are switched off. `changed` is called
+    `goal` is the cluster version that the operators want, None if rollouts are switched off. `changed` is called
     whenever the state of the lease has changed.
     """
 
@@ -106,8 +109,8 @@
         self.grace_s = times.grace_s
         self.lease: LeaseId | None = None
         self.state = LeaseState.JOINING
-        self.renewed_at = NEVER  # when the last successful renewal was sent
-        self.declines_assignments_until = NEVER  # neither leadership nor shards are acquired before
+        self.renewed_at = NEVER  # send time of the last successful renewal
+        self.declines_assignments_until = NEVER  # neither leadership nor shards are acquired before this time
         self._zone = zone
         self._goal = goal
         self._client = client
@@ -118,70 +121,73 @@
     # -- queries
 
     def contact_at(self) -> MonotonicTime:
-        """Return the moment before which every committed change is known to this controller."""
+        """Return the time up to which this controller has received every committed change."""
         return min(self.renewed_at, self._watch_cache.complete_until)
 
     def check(self) -> LeaseState:
-        """Return the state after bringing it up to date with the clock."""
+        """Update the state of the lease by the clock and return it."""
         if self.lease is None and self.state in (LeaseState.JOINING, LeaseState.EXPIRED):
             return self.state
         silent_s = self._clock.monotonic() - self.contact_at()
         if self.lease is not None and silent_s < self.lease_s * (1 - 2 * DRIFT) - LEASE_MARGIN_S:
-            self._enter(LeaseState.ACTIVE)
+            self._set_state(LeaseState.ACTIVE)
         elif silent_s < self.grace_s:
-            self._enter(LeaseState.GRACE)
+            self._set_state(LeaseState.GRACE)
         else:
-            self._enter(LeaseState.EXPIRED)
+            self._set_state(LeaseState.EXPIRED)
         return self.state
 
-    def _enter(self, state: LeaseState) -> None:
+    def _set_state(self, state: LeaseState) -> None:
         if state is not self.state:
             log.info("lease: %s -> %s", self.state.value, state.value)
             self.state = state
             self._changed()
 
     def leader(self) -> Versioned[LeaderRecord] | None:
-        """Return the leader's record with its mod revision, None without a leader."""
+        """Return the leader's record with its mod revision, None if there is no leader."""
         return self._watch_cache.get(keys.LEADER, LeaderRecord)
 
     def leadership_revision(self) -> ModRevision | None:
-        """Return the mod revision under which this controller leads, None where it may not act as the leader."""
+        """Return the mod revision of this controller's leadership, None if it may not act as the leader."""
         leader = self.leader()
         if leader is None or self.lease is None or leader.record.lease != self.lease:
             return None
         if self._watch_cache.revision < leader.mod_revision:
-            return None  # what was committed before is not known yet
+            return None  # the watch cache may still lack changes committed before the election
         return leader.mod_revision if self.check() is LeaseState.ACTIVE else None
 
     def assigned_token(self, zone: Zone) -> FencingToken | None:
-        """Return the fencing token of a shard assigned to this controller, whether or not it may still use it."""
+        """Return the fencing token of a shard assigned to this controller, None if it is not assigned to it.
+
+        The state of the lease is not checked: the token is returned even if the controller may no longer use it.
+        """
         shard = self._watch_cache.get(keys.shard(zone), ShardRecord)
         if shard is None or self.lease is None or shard.record.lease != self.lease:
             return None
         return FencingToken(shard.mod_revision)
 
     def shard_owner(self, zone: str) -> NodeId | None:
-        """Return the controller that a zone's shard is assigned to."""
+        """Return the controller that a zone's shard is assigned to, None if there is none."""
         shard = self._watch_cache.get(keys.shard(zone), ShardRecord)
         return None if shard is None else NodeId(shard.record.node)
 
     def members(self) -> dict[NodeId, NodeRecord]:
-        """Return the controllers that have a lease."""
+        """Return the records of the controllers that have a lease."""
         nodes = self._watch_cache.list_records(keys.NODES, NodeRecord)
         return {NodeId(name): record for name, (record, _) in nodes.items() if record.is_live()}
 
     # -- the lease
 
     async def _join(self) -> None:
-        """Get a lease if this program supports the committed version.
+        """Acquire a lease if this program supports the committed version.
 
-        A lease that a former process of this controller left behind is revoked first; the next call joins then.
+        A lease left behind by a former process of this controller is revoked first; the next call then joins.
         """
         key = keys.node(self.node_id)
         stored, admission = await asyncio.gather(self._client.get(key), self.fence.admission())
         refusal = admission.refusal
         if stored is not None:
-            former = self._cached_node(stored)
+            former = self._cache_node_record(stored)
             if former is not None and former.is_live():
                 await self._revoke_former(former)
                 return
@@ -189,11 +195,11 @@
                 refusal = f"{key} can't be read"
         self.fence.refuse(refusal)
         if refusal is None:
-            # A record without a lease keeps out programs that don't support the version; it is replaced.
+            # The stored record may have no lease: it bars programs that don't support the version, and is replaced.
             unchanged = Compare(key, 0 if stored is None else stored.mod_revision)
             await self._register([unchanged, *admission.conditions])
 
-    def _cached_node(self, stored: KeyValue) -> NodeRecord | None:
+    def _cache_node_record(self, stored: KeyValue) -> NodeRecord | None:
         key = keys.node(self.node_id)
         self._watch_cache.put(key, bytes(stored.value), ModRevision(stored.mod_revision))
         node = self._watch_cache.get(key, NodeRecord)
@@ -201,11 +207,11 @@
 
     async def _revoke_former(self, former: NodeRecord) -> None:
         if former.lease != self.lease:
-            log.info("revoking lease %d of a former process", former.lease)
+            log.info("lease: revoking lease %d of a former process of %s", former.lease, self.node_id)
             await self._client.revoke_lease(LeaseId(former.lease))
 
     async def _register(self, conditions: list[Compare]) -> None:
-        """Create a lease and write the record of this controller with it."""
+        """Create a lease and write the record of this controller, attached to the lease."""
         key = keys.node(self.node_id)
         sent_at = self._clock.monotonic()
         lease = await self._client.grant_lease(self.lease_s)
@@ -213,8 +219,9 @@
         try:
             response = await self._client.commit(Transaction(conditions, [Put(key, record, lease)]))
         except OutcomeUnknownError:
-            # Executed late, it would name a lease that nobody renews, and others would take the lease that this
-            # controller has by then for expired. Without the lease the store rejects it.
+            # If the transaction is executed late, the record names a lease that is not renewed, and other controllers
+            # take the lease that this controller has acquired since for expired. Once the lease is revoked, the store
+            # rejects the transaction.
             await self._client.revoke_lease(lease)
             raise
         if response.conflicts:
@@ -223,24 +230,24 @@
         self.lease = lease
         self.renewed_at = sent_at
         self._watch_cache.put(key, record, ModRevision(response.revision))
-        log.info("joined with lease %d", lease)
+        log.info("lease: %s joined with lease %d", self.node_id, lease)
         self.check()
         self._changed()
 
     def _expire(self, reason: str) -> None:
-        """Give up the lease, and with it leadership and shards: it does not exist any more."""
+        """Discard the lease, and with it leadership and shards, after it has expired or was revoked."""
         log.info("lease %s expired: %s", self.lease, reason)
         self.lease = None
-        self._enter(LeaseState.JOINING)
+        self._set_state(LeaseState.JOINING)
         self._changed()
 
     async def _revoke(self, lease: LeaseId, reason: str) -> None:
-        """Revoke the own lease: this program does not support the committed version any more."""
+        """Revoke this controller's own lease, because the program no longer supports the committed version."""
         await self._client.revoke_lease(lease)
         self._expire(reason)
 
     async def run(self) -> None:
-        """Join, renew the lease, and join again after it has expired. Never returns."""
+        """Join, renew the lease, and rejoin after it has expired. Never returns."""
         while True:
             try:
                 pause_s = await self._join_or_renew()
@@ -249,7 +256,7 @@
                 if self.lease is not None:
                     self._expire(str(err))
             except (StoreUnavailableError, OutcomeUnknownError) as err:
-                log.debug("lease: %s", err)
+                log.debug("lease: request failed, retrying in %.1f s: %s", FAILED_RENEWAL_RETRY_S, err)
                 pause_s = FAILED_RENEWAL_RETRY_S
             self.check()
             await asyncio.sleep(pause_s)
@@ -258,7 +265,7 @@
         return self.lease_s / RENEWALS_PER_LEASE
 
     async def _join_or_renew(self) -> float:
-        """Take the next step, and return the seconds until the one after it."""
+        """Join, renew or revoke the lease, and return the seconds to wait before the next call."""
         if self.lease is None:
             await self._join()
             return JOIN_INTERVAL_S if self.fence.refusal() is None else INCOMPATIBLE_RETRY_S
@@ -273,7 +280,7 @@
     # -- keys attached to the lease
 
     async def campaign(self) -> bool:
-        """Acquire leadership if there is no leader. Return whether this controller was elected."""
+        """Try to acquire leadership if there is no leader. Return whether this controller was elected."""
         if (
             self.lease is None
             or self.check() is not LeaseState.ACTIVE
@@ -291,12 +298,12 @@
             return False
         if response.conflicts:
             return False
-        # The watch cache gets the record from the watch: by then it has all that was committed before, too.
+        # The record is left to the watch to deliver: by then the watch cache also has every change committed before it.
         log.info("leading since revision %d", response.revision)
         return True
 
     async def release_key(self, key: str) -> None:
-        """Delete a key attached to the own lease, so that another controller can have it."""
+        """Delete a key attached to this controller's own lease, so that another controller can acquire it."""
         mod_revision = self._watch_cache.mod_revision(key)
         if not mod_revision:
             return
