--- a/src/cloverplank/kvstore/watch_cache.py
+++ b/src/cloverplank/kvstore/watch_cache.py
@@ -1,4 +1,4 @@
-"""A cache of all keys under the root prefix, kept up to date by one watch."""
+"""In-memory cache of all keys under the root prefix, kept up to date by one watch."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 log = logging.getLogger(__name__)
 
 WATCH_TIMEOUT_S = 1.5
-RETRY_INTERVAL_S = 0.2  # after a failed watch, longer by as much with each further one
+RETRY_INTERVAL_S = 0.2  # after a failed watch; grows by this much with each consecutive failure
 MAX_RETRY_INTERVAL_S = 1.0
-MAX_WATCH_FAILURES = 6  # in a row, while other requests are answered
+MAX_WATCH_FAILURES = 6  # consecutive failures, while other requests are answered, before everything is reloaded
 MAX_FINALS = 20_000
 MAX_DELETED = 5_000
-DELETED_TO_FORGET = 2_500  # the oldest of them, once there are too many
+DELETED_TO_FORGET = 2_500  # number of the oldest deletions dropped once there are more than MAX_DELETED
 
 RecordType = TypeVar("RecordType")
 
@@ -62,15 +62,15 @@
 
 
 def _ignore_key_change(key: str) -> None:
-    """Do nothing: the default for a cache without a listener."""
+    """Do nothing; used by caches without a listener."""
 
 
 class WatchCache:
-    """Every key under the root prefix, in memory, kept up to date by one watch.
+    """Decoded records of all keys under the root prefix, kept up to date by one watch.
 
-    `changed` is called with each key that has changed, and with an empty one after everything was loaded anew.
-    `watch_interval_s` is the pause between two watches, which keeps them within their share of requests.
-    `watch_timeout_s` bounds a watch without events.
+    `changed` is called with each key that has changed, and with an empty string after everything was reloaded.
+    `watch_interval_s` is the pause between two watches, which keeps them within their share of the request rate.
+    `watch_timeout_s` is the longest time for which a watch waits for events.
     """
 
     def __init__(
@@ -92,35 +92,39 @@
         self.blocked = BlockedJobs()
         self.effective_priorities = EffectivePriorities(self.blocked)
         self.records: dict[str, Versioned[Any]] = {}
-        self._values_by_type: dict[type, dict[str, Versioned[Any]]] = {}  # the same values, for `under`
-        self.unreadable: dict[str, ModRevision] = {}  # keys other than jobs' whose values can't be decoded
+        self._values_by_type: dict[
+            type, dict[str, Versioned[Any]]
+        ] = {}  # the values of `records`, indexed for `list_records`
+        self.unreadable: dict[
+            str, ModRevision
+        ] = {}  # mod revisions of keys other than jobs' whose values can't be decoded
         self.compact_jobs: set[JobId] = set()  # open jobs whose records are stored in the compact layout
-        self.deleted: dict[str, ModRevision] = {}  # mod revisions of deletions, against events that come late
+        self.deleted: dict[str, ModRevision] = {}  # revisions of deletions, to ignore older events that arrive late
         self.finals: OrderedDict[JobId, Phase] = OrderedDict()
         self.revision = 0
         self.loaded = False
-        self.complete_until = NEVER  # every change committed before this moment is here
+        self.complete_until = NEVER  # every change committed before this time is in the cache
 
     # -- queries
 
     def get(self, key: str, record_type: type[RecordType]) -> Versioned[RecordType] | None:
-        """Return the record under a key, None where there is none of this type."""
+        """Return the record under a key, None if there is none of this type."""
         versioned = self.records.get(key)
         if versioned is None or not isinstance(versioned.record, record_type):
             return None
         return versioned
 
     def mod_revision(self, key: str) -> ModRevision:
-        """Return the mod revision of a key, 0 where it does not exist or its value can't be decoded."""
+        """Return the mod revision of a key, 0 if it does not exist or its value can't be decoded."""
         versioned = self.records.get(key)
         return ModRevision(0) if versioned is None else versioned.mod_revision
 
     def mod_revision_or_unreadable(self, key: str) -> ModRevision:
-        """Return the mod revision of a key, also where its value can't be decoded; 0 where it does not exist."""
+        """Return the mod revision of a key, even if its value can't be decoded; 0 if it does not exist."""
         return self.unreadable.get(key) or self.mod_revision(key)
 
     def list_records(self, prefix: str, record_type: type[RecordType]) -> dict[str, Versioned[RecordType]]:
-        """Return all records of a type under a prefix, by the part of the key after it."""
+        """Return all records of a type under a prefix, by the part of the key after the prefix."""
         return {
             key[len(prefix) :]: versioned
             for key, versioned in self._values_by_type.get(record_type, {}).items()
@@ -128,15 +132,15 @@
         }
 
     def final(self, job: JobId) -> Phase | None:
-        """Return the final phase of a job; None where it has not ended, or ended too long ago to be in memory."""
+        """Return the final phase of a job, None if it has not ended or ended too long ago to be in memory."""
         return self.finals.get(job)
 
     def knows(self, job: JobId) -> bool:
-        """Return whether the job was accepted, as far as this controller can tell without a request."""
+        """Return whether the job is in the cache; one that ended long ago may be missing although it was accepted."""
         return job in self.finals or job in self.store.jobs or job in self.blocked.jobs
 
     def upstream_state(self, job: JobId) -> UpstreamState:
-        """Return what is committed of a job that another one depends on."""
+        """Return the committed state of a job on which another one depends."""
         final = self.finals.get(job)
         if final is not None:
             return state_of_phase(final)
@@ -148,7 +152,7 @@
     # -- changes
 
     def record_final(self, job: JobId, phase: Phase) -> None:
-        """Add the final phase of a job."""
+        """Record the final phase of a job, dropping the oldest beyond MAX_FINALS."""
         self.finals[job] = phase
         self.finals.move_to_end(job)
         while len(self.finals) > MAX_FINALS:
@@ -156,7 +160,7 @@
         self.blocked.upstream_changed(job)
 
     def put(self, key: str, value: bytes | Struct, mod_revision: ModRevision) -> None:
-        """Add the value of a key, as stored or decoded, unless a newer one is here already."""
+        """Add the value of a key, as stored or decoded, unless the cache already has a newer one."""
         try:
             if key.startswith(keys.JOBS):
                 self._put_job(key, value, mod_revision)
@@ -165,7 +169,7 @@
             elif key.startswith(keys.FINALS):
                 self.record_final(JobId(key[len(keys.FINALS) :]), _decoded(value, FinalRecord).phase)
             else:
-                self._put_other(key, value, mod_revision)
+                self._put_non_job(key, value, mod_revision)
         except MessageDecodeError as err:
             _log_unreadable(key, err)
 
@@ -177,12 +181,12 @@
         job = JobId(key[len(keys.JOBS) :])
         before = self.store.get(job)
         if before is None or before.mod_revision < mod_revision:
-            self._note_layout(job, stored)
+            self._record_layout(job, stored)
         self.store.apply(job, record, mod_revision)
         if record.phase is not Phase.OPEN:
             self.blocked.upstream_changed(job)
 
-    def _note_layout(self, job: JobId, stored: JobRecord | CompactRecord) -> None:
+    def _record_layout(self, job: JobId, stored: JobRecord | CompactRecord) -> None:
         if isinstance(stored, CompactRecord):
             self.compact_jobs.add(job)
         else:
@@ -193,7 +197,7 @@
         if self.deleted.get(key, 0) < mod_revision:
             self.blocked.apply(JobId(key[len(keys.BLOCKED) :]), record, mod_revision)
 
-    def _put_other(self, key: str, value: bytes | Struct, mod_revision: ModRevision) -> None:
+    def _put_non_job(self, key: str, value: bytes | Struct, mod_revision: ModRevision) -> None:
         if self.mod_revision_or_unreadable(key) >= mod_revision or self.deleted.get(key, 0) >= mod_revision:
             return
         for prefix, record_type in _RECORD_TYPES:
@@ -205,7 +209,7 @@
         try:
             record: object = _decoded(value, record_type)
         except MessageDecodeError:
-            # The record before it is not valid any more.
+            # The previous record is no longer valid.
             self._discard_value(key)
             self.unreadable[key] = mod_revision
             self._changed(key)
@@ -220,8 +224,8 @@
             del self._values_by_type[type(versioned.record)][key]
 
     def delete(self, key: str, mod_revision: ModRevision) -> None:
-        """Remove a key that was deleted at this revision, unless it was written again since."""
-        self._note_deletion(key, mod_revision)
+        """Remove a key that was deleted at this revision, unless it has been written again since."""
+        self._record_deletion(key, mod_revision)
         if key.startswith(keys.JOBS):
             self._delete_job(JobId(key[len(keys.JOBS) :]), mod_revision)
         elif key.startswith(keys.BLOCKED):
@@ -231,7 +235,7 @@
             self.unreadable.pop(key, None)
             self._changed(key)
 
-    def _note_deletion(self, key: str, mod_revision: ModRevision) -> None:
+    def _record_deletion(self, key: str, mod_revision: ModRevision) -> None:
         self.deleted[key] = max(mod_revision, self.deleted.get(key, ModRevision(0)))
         if len(self.deleted) > MAX_DELETED:
             for oldest in sorted(self.deleted, key=lambda deleted: self.deleted[deleted])[:DELETED_TO_FORGET]:
@@ -251,9 +255,9 @@
             self.delete(event.delete, ModRevision(event.mod_revision))
 
     async def _load(self) -> None:
-        """Read everything but final records. The watch delivers what changes after the first page was read."""
+        """Read everything except final records. Changes after the first page was read are delivered by the watch."""
         sent_at = self._clock.monotonic()
-        first_revision: ModRevision | None = None  # 0 is a revision, too: that of an empty store
+        first_revision: ModRevision | None = None  # compared with None, since an empty store has revision 0
         seen: set[str] = set()
         for prefix, after in ((keys.SHARDS, ""), (keys.ROOT, keys.FINALS + "~")):
             async for page in self._client.pages(prefix, after):
@@ -262,7 +266,7 @@
                 for key_value in page.items:
                     seen.add(key_value.key)
                     self.put(key_value.key, bytes(key_value.value), ModRevision(key_value.mod_revision))
-        assert first_revision is not None  # every prefix has a page
+        assert first_revision is not None  # every prefix returns at least one page
         job_keys = [*map(keys.job, self.store.jobs), *map(keys.blocked, self.blocked.jobs)]
         for key in [*self.records, *self.unreadable, *job_keys]:
             if key not in seen:
@@ -280,7 +284,7 @@
         self.complete_until = max(self.complete_until, sent_at)
 
     async def run(self) -> None:
-        """Load everything and watch for changes. Never returns."""
+        """Load the cache and watch for changes. Never returns."""
         failures = 0
         while True:
             try:
@@ -292,15 +296,15 @@
                 failures = 0
                 await asyncio.sleep(self.watch_interval_s)
             except LogCompactedError:
-                log.info("watch cache: the log was compacted, reloading")
+                log.info("watch cache: the change log after revision %d was compacted, reloading", self.revision)
                 self.loaded = False
             except (StoreUnavailableError, OutcomeUnknownError) as err:
                 failures += 1
-                log.debug("watch cache: %s", err)
+                log.debug("watch cache: request failed (%d consecutive failures): %s", failures, err)
                 if failures >= MAX_WATCH_FAILURES and not self._client.down():
                     # Only the watch fails: its response may be too large or can't be decoded, and would be
-                    # requested again for ever.
-                    log.info("watch cache: the watch fails, reloading")
+                    # requested again indefinitely.
+                    log.info("watch cache: the watch fails, reloading: %d consecutive failures: %s", failures, err)
                     self.loaded, failures = False, 0
                 await asyncio.sleep(min(MAX_RETRY_INTERVAL_S, RETRY_INTERVAL_S * failures))
 
@@ -311,10 +315,10 @@
 
 def _stored_bytes(value: bytes | Struct) -> bytes:
     if isinstance(value, Struct):
-        raise MessageDecodeError(f"a record of another type: {type(value).__name__}")
+        raise MessageDecodeError(f"unexpected record type {type(value).__name__}")
     return value
 
 
 def _decoded(value: bytes | Struct, record_type: type[RecordType]) -> RecordType:
-    """Return the record, from its bytes or as it is. Raises MessageDecodeError."""
+    """Return the record, decoded from bytes if necessary. Raises MessageDecodeError."""
     return value if isinstance(value, record_type) else decode(_stored_bytes(value), record_type)
