--- a/src/cloverplank/kvstore/client.py
+++ b/src/cloverplank/kvstore/client.py
@@ -34,29 +34,32 @@
 REQUEST_TIMEOUT_S = 2.0
 LIST_TIMEOUT_S = 4.0
 RENEWAL_TIMEOUT_S = 1.0
-WATCH_RESPONSE_TIME_S = 1.5  # for the response to a watch after it has ended
-DOWN_AFTER_S = 0.5  # of nothing but failures
-PAGE_SIZE = 500  # key-values
-UNKNOWN_KEY = "?"  # in the conflicts of a transaction: the store did not say which compare failed
+WATCH_RESPONSE_MARGIN_S = 1.5  # added to the timeout of a watch, for its response to arrive
+DOWN_AFTER_S = 0.5  # the store counts as down once all requests have failed for this long
+PAGE_SIZE = 500  # key-values per page
+UNKNOWN_KEY = "?"  # reported as the conflict of a transaction if the store does not name the failed compares
 
 ResponseType = TypeVar("ResponseType")
 
 
 class StoreClient:
-    """One method for each request that the store answers.
+    """Client with one method for each request type of the store.
 
-    All of them raise StoreUnavailableError where the request was not executed and OutcomeUnknownError where that is not
-    known. `requests` and `changes` are the token buckets that requests and the changes of transactions count against.
+    Every method raises StoreUnavailableError if the request was not executed, and OutcomeUnknownError if it is not
+    known whether it was. `request_tokens` and `change_tokens` are the token buckets from which each request and each
+    change of a transaction takes a token.
     """
 
-    def __init__(self, http: Http, addr: str, clock: Clock, requests: TokenBucket, changes: TokenBucket) -> None:
+    def __init__(
+        self, http: Http, addr: str, clock: Clock, request_tokens: TokenBucket, change_tokens: TokenBucket
+    ) -> None:
         self._http = http
         self._addr = addr
         self._clock = clock
-        self.requests = requests
-        self.changes = changes
-        self.answered_at = NEVER  # when the last request was sent that the store has executed
-        self.failing_since: MonotonicTime | None = None  # since when no request was answered
+        self.request_tokens = request_tokens
+        self.change_tokens = change_tokens
+        self.executed_request_sent_at = NEVER  # send time of the newest request that the store has executed
+        self.failing_since: MonotonicTime | None = None  # first failure after the last answered request
 
     async def _request(self, method: str, path: str, body: Any = None, timeout: float = REQUEST_TIMEOUT_S) -> Response:
         sent_at = self._clock.monotonic()
@@ -72,15 +75,15 @@
             self._note_failure()
             raise OutcomeUnknownError(str(err), request=request) from err
         if response.status == HTTPStatus.TOO_MANY_REQUESTS:
-            self.requests.drain()
-            self.changes.drain()
+            self.request_tokens.drain()
+            self.change_tokens.drain()
             raise StoreUnavailableError(request=request, status=response.status)
         if response.status == HTTPStatus.SERVICE_UNAVAILABLE:
             self._note_failure()
             raise StoreUnavailableError(request=request, status=response.status)
         self.failing_since = None
         if response.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-            self.answered_at = max(self.answered_at, sent_at)
+            self.executed_request_sent_at = max(self.executed_request_sent_at, sent_at)
         return response
 
     def _note_failure(self) -> None:
@@ -88,12 +91,12 @@
             self.failing_since = self._clock.monotonic()
 
     def down(self, after_s: float = DOWN_AFTER_S) -> bool:
-        """Return whether all requests have failed for `after_s` seconds."""
+        """Return whether all requests have failed for at least `after_s` seconds."""
         return self.failing_since is not None and self._clock.monotonic() - self.failing_since >= after_s
 
     async def get(self, key: str) -> KeyValue | None:
-        """Read one key-value; None where there is no such key."""
-        self.requests.force()
+        """Read one key-value; return None if the key does not exist."""
+        self.request_tokens.take_unconditionally()
         path = f"/keys/{key}"
         response = await self._request("GET", path)
         if response.status == HTTPStatus.NOT_FOUND:
@@ -101,14 +104,14 @@
         return _decode_ok(response, KeyValue, f"GET {path}")
 
     async def list_page(self, prefix: str, after: str = "", limit: int = PAGE_SIZE) -> KeyValuePage:
-        """Read one page of the key-values under a prefix, those after the key `after`."""
-        self.requests.force()
+        """Read one page of at most `limit` key-values under a prefix, starting after the key `after`."""
+        self.request_tokens.take_unconditionally()
         path = f"/keys?under={prefix}&limit={limit}" + (f"&from={after}" if after else "")
         response = await self._request("GET", path, timeout=LIST_TIMEOUT_S)
         return _decode_ok(response, KeyValuePage, f"GET {path}")
 
     async def pages(self, prefix: str, after: str = "") -> AsyncIterator[KeyValuePage]:
-        """Read all key-values under a prefix, those after the key `after`, page by page."""
+        """Read all key-values under a prefix, starting after the key `after`, page by page."""
         more = True
         while more:
             page = await self.list_page(prefix, after)
@@ -118,15 +121,15 @@
                 after = page.items[-1].key
 
     async def commit(
-        self, transaction: Transaction, timeout: float = REQUEST_TIMEOUT_S, reserved: float = 0.0
+        self, transaction: Transaction, timeout: float = REQUEST_TIMEOUT_S, prepaid: float = 0.0
     ) -> TransactionResponse:
-        """Execute a transaction: it was executed where the response names no conflicts.
+        """Execute a transaction; it has taken effect only if the response names no conflicts.
 
-        `reserved` is how many of its changes were already taken from the token bucket. Raises TransactionRejectedError
-        for a transaction that the store calls malformed.
+        `prepaid` is the number of its changes for which tokens were already taken. Raises TransactionRejectedError if
+        the store rejects the transaction as malformed.
         """
-        self.requests.force()
-        self.changes.force(max(1, len(transaction.changes)) - reserved)
+        self.request_tokens.take_unconditionally()
+        self.change_tokens.take_unconditionally(max(1, len(transaction.changes)) - prepaid)
         request = "POST /commit"
         response = await self._request("POST", "/commit", transaction, timeout)
         if response.status == HTTPStatus.CONFLICT:
@@ -139,8 +142,8 @@
         raise OutcomeUnknownError(request=request, status=response.status)
 
     async def compare(self, transaction: Transaction, timeout: float = REQUEST_TIMEOUT_S) -> TransactionResponse:
-        """Execute a transaction without changes, which tells whether its keys still have these mod revisions."""
-        self.requests.force()
+        """Execute a transaction without changes, to check that its keys still have the given mod revisions."""
+        self.request_tokens.take_unconditionally()
         request = "POST /commit"
         response = await self._request("POST", "/commit", transaction, timeout)
         if response.status == HTTPStatus.CONFLICT:
@@ -149,13 +152,13 @@
 
     async def grant_lease(self, ttl_s: float) -> LeaseId:
         """Create a lease that expires `ttl_s` seconds after its last renewal."""
-        self.requests.force()
+        self.request_tokens.take_unconditionally()
         response = await self._request("POST", "/leases", LeaseRequest(int(ttl_s * MS_PER_SECOND)))
         return LeaseId(_decode_ok(response, LeaseResponse, "POST /leases").lease)
 
     async def renew_lease(self, lease: LeaseId, timeout: float = RENEWAL_TIMEOUT_S) -> None:
-        """Renew a lease. Raises LeaseExpiredError where it does not exist any more."""
-        self.requests.force()
+        """Renew a lease. Raises LeaseExpiredError if it no longer exists."""
+        self.request_tokens.take_unconditionally()
         path = f"/leases/{lease}/touch"
         response = await self._request("POST", path, {}, timeout=timeout)
         if response.status == HTTPStatus.NOT_FOUND:
@@ -163,18 +166,18 @@
         _check_ok(response, f"POST {path}")
 
     async def revoke_lease(self, lease: LeaseId) -> None:
-        """End a lease, and with it the keys that are attached to it."""
-        self.requests.force()
+        """Revoke a lease, which also deletes the keys that are attached to it."""
+        self.request_tokens.take_unconditionally()
         await self._request("DELETE", f"/leases/{lease}")
 
     async def watch(self, prefix: str, after: int, watch_timeout_s: float) -> WatchResponse:
-        """Wait up to `watch_timeout_s` for changes under a prefix after the revision `after`.
+        """Wait up to `watch_timeout_s` seconds for changes under a prefix after the revision `after`.
 
-        Raises LogCompactedError where the store does not remember those changes any more.
+        Raises LogCompactedError if the store has compacted those changes away.
         """
-        self.requests.force()
+        self.request_tokens.take_unconditionally()
         path = f"/watch?under={prefix}&from={after}&wait_ms={int(watch_timeout_s * MS_PER_SECOND)}"
-        response = await self._request("GET", path, timeout=watch_timeout_s + WATCH_RESPONSE_TIME_S)
+        response = await self._request("GET", path, timeout=watch_timeout_s + WATCH_RESPONSE_MARGIN_S)
         if response.status == HTTPStatus.GONE:
             raise LogCompactedError(request=f"GET {path}", status=response.status)
         return _decode_ok(response, WatchResponse, f"GET {path}")
@@ -194,9 +197,9 @@
     try:
         return decode(response.body, response_type)
     except MessageDecodeError as err:
-        raise _unreadable(request, err) from err
+        raise _undecodable_response(request, err) from err
 
 
-def _unreadable(request: str, err: MessageDecodeError) -> StoreError:
+def _undecodable_response(request: str, err: MessageDecodeError) -> StoreError:
     log.error("store: response to %s can't be decoded: %s", request, err)
     return OutcomeUnknownError("the response can't be decoded", request=request)
--- a/src/cloverplank/kvstore/linearizable_reader.py
+++ b/src/cloverplank/kvstore/linearizable_reader.py
@@ -1,7 +1,7 @@
-"""Linearizable reads of jobs: one compare answers for all jobs that are asked about at once.
+"""Linearizable reads of jobs: concurrent reads are batched, and one transaction of compares validates a whole batch.
 
-What one controller has told a user must not be taken back by another, so nothing but a final state is answered from
-the watch cache alone.
+A response of one controller must not be contradicted by a later response of another one, so only final states are
+returned from the watch cache without a request to the store.
 """
 
 from __future__ import annotations
@@ -26,33 +26,33 @@
 
 log = logging.getLogger(__name__)
 
-BATCH_DELAY_S = 0.002  # for which a batch collects what is asked at the same moment
-MAX_BATCH_DELAY_S = 0.25  # the same over the rate limit
-COMPARE_TIMEOUT_S = 0.9  # users wait two seconds for an answer
+BATCH_DELAY_S = 0.002  # time in which concurrent reads are collected into a batch
+MAX_BATCH_DELAY_S = 0.25  # longest delay of a batch while the request rate limit is exceeded
+COMPARE_TIMEOUT_S = 0.9  # users wait two seconds for a response
 MAX_BATCHES_IN_FLIGHT = 2
-MAX_READS_PER_BATCH = 24  # users ask again for the others
+MAX_READS_PER_BATCH = 24  # changed jobs read one by one; users retry the others
 MAX_QUEUED_READS = 2000
 
-# a record as committed, a final phase, or None where the job was never accepted
+# The committed record, the final phase, or None if the job was never accepted.
 JobState = JobRecord | BlockedJob | Phase | None
 
 
 class _Batch(Struct):
-    """The reads that one compare answers."""
+    """Reads that are validated by one transaction of compares."""
 
     futures: dict[JobId, asyncio.Future[JobState]] = field(default_factory=dict)
     compares: dict[JobId, list[Compare]] = field(default_factory=dict)
 
     def fail(self, err: Exception) -> None:
-        """Give the error to all reads without an answer."""
+        """Fail all reads of the batch that have no result yet."""
         for future in self.futures.values():
             _fail(future, err)
 
 
 class LinearizableReader:
-    """Reads jobs as they are committed now.
+    """Reads the currently committed state of jobs.
 
-    `txn_ops` is the number of changes that a transaction may have.
+    `txn_ops` is the maximum number of changes in a transaction.
     """
 
     def __init__(self, client: StoreClient, watch_cache: WatchCache, clock: Clock, txn_ops: int) -> None:
@@ -61,13 +61,14 @@
         self._watch_cache = watch_cache
         self._max_compares = txn_ops * COMPARES_PER_CHANGE
         self._queued: dict[JobId, asyncio.Future[JobState]] = {}
-        self._workers = 0
+        self._batch_tasks = 0
         self._tasks = BackgroundTasks()
 
     async def job(self, job: JobId) -> JobState:
-        """Return the job as it is now: its record, its final phase, or None where it was never accepted.
+        """Return the committed state of a job: its record, its final phase, or None if it was never accepted.
 
-        Raises StoreUnavailableError or OutcomeUnknownError where the store does not answer.
+        Raises StoreUnavailableError if the read queue is full, and StoreUnavailableError or OutcomeUnknownError if the
+        store does not respond.
         """
         final = self._watch_cache.final(job)
         if final is not None:
@@ -75,10 +76,10 @@
         future = self._queued.get(job)
         if future is None:
             if len(self._queued) > MAX_QUEUED_READS:
-                raise StoreUnavailableError("too many reads are queued")
+                raise StoreUnavailableError(f"the read queue is full: more than {MAX_QUEUED_READS} jobs are queued")
             future = self._queued[job] = asyncio.get_running_loop().create_future()
-            if self._workers < MAX_BATCHES_IN_FLIGHT:
-                self._workers += 1
+            if self._batch_tasks < MAX_BATCHES_IN_FLIGHT:
+                self._batch_tasks += 1
                 self._tasks.spawn(self._answer_queued())
         return await asyncio.shield(future)
 
@@ -86,15 +87,15 @@
         try:
             await asyncio.sleep(BATCH_DELAY_S)
             while self._queued:
-                delay_s = self._client.requests.wait()
+                delay_s = self._client.request_tokens.wait()
                 if delay_s > 0:
                     await asyncio.sleep(min(MAX_BATCH_DELAY_S, delay_s))
                 await self._answer_batch(self._next_batch())
         finally:
-            self._workers -= 1
+            self._batch_tasks -= 1
 
     def _next_batch(self) -> _Batch:
-        """Take as many of the queued reads as one compare holds."""
+        """Take as many of the queued reads as fit the compares of one transaction, and at least one."""
         batch = _Batch()
         compares_left = self._max_compares
         for job, future in self._queued.items():
@@ -109,7 +110,7 @@
         return batch
 
     def _compares(self, job: JobId) -> list[Compare]:
-        """Return the compares that the job is as in the cache: under one key with this mod revision, or under none."""
+        """Return the compares that hold if the cached state is current: its key is unchanged, or no key exists."""
         open_job = self._watch_cache.store.get(job)
         if open_job is not None:
             return [Compare(keys.job(job), open_job.mod_revision)]
@@ -129,22 +130,22 @@
             await self._answer_each(batch, cached, changed_keys)
         except StoreError as err:
             batch.fail(err)
-        except Exception as err:  # outermost level of the batch: nobody must wait for ever
-            log.exception("reading a batch of jobs failed")
+        except Exception as err:  # outermost level of the batch task: no read may wait indefinitely
+            log.exception("linearizable reader: a batch of reads failed")
             batch.fail(err)
 
     async def _changed_keys(self, batch: _Batch) -> set[str]:
-        """Return the keys of the batch that have changed since they were cached, all where that is not known."""
+        """Return the keys of the batch that have changed since they were cached, or all keys if that is unknown."""
         if self._client.down():
-            raise StoreUnavailableError("no request is answered")
-        compares = [compare for of_job in batch.compares.values() for compare in of_job]
-        asked_at = self._clock.monotonic()
+            raise StoreUnavailableError("the store is down: all recent requests failed")
+        compares = [compare for job_compares in batch.compares.values() for compare in job_compares]
+        sent_at = self._clock.monotonic()
         try:
             response = await self._client.compare(Transaction(compares), COMPARE_TIMEOUT_S)
         except OutcomeUnknownError:
-            if self._client.answered_at < asked_at:
+            if self._client.executed_request_sent_at < sent_at:
                 raise
-            # Other requests are answered, so only transactions are held up: the jobs are read one by one.
+            # The store executes other requests, so only transactions are delayed: the jobs are read one by one.
             return {compare.key for compare in compares}
         return set(response.conflicts)
 
@@ -156,15 +157,17 @@
                 continue
             reads += 1
             if reads > MAX_READS_PER_BATCH:
-                _fail(future, StoreUnavailableError("too many reads at once"))
+                _fail(
+                    future, StoreUnavailableError(f"more than {MAX_READS_PER_BATCH} jobs of one batch have to be read")
+                )
                 continue
             try:
                 _succeed(future, await self._read(job))
             except (StoreUnavailableError, OutcomeUnknownError) as err:
-                _fail(future, err)  # the others still get their answers
+                _fail(future, err)  # the other reads of the batch are still answered
 
     async def _read(self, job: JobId) -> JobState:
-        """Read the keys in the order in which a job moves from one to the next, so that none is missed."""
+        """Read the keys in the order in which a job moves between them, so that a job that moves is not missed."""
         try:
             if self._watch_cache.store.get(job) is None:
                 blocked_job = await self._read_blocked(job)
@@ -208,4 +211,4 @@
 def _fail(future: asyncio.Future[JobState], err: Exception) -> None:
     if not future.done():
         future.set_exception(err)
-        future.exception()  # marks it as retrieved where nobody waits any more
+        future.exception()  # marks the exception as retrieved, in case no caller awaits the future
--- a/src/cloverplank/kvstore/rate_allocation.py
+++ b/src/cloverplank/kvstore/rate_allocation.py
@@ -1,4 +1,4 @@
-"""Each controller's share of the limits that the store sets for all of them together, by what each has to do."""
+"""Division of the store's rate limits, which hold for all controllers together, according to their roles and load."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 
 BASE_WEIGHT = 1.0
 LEADER_WEIGHT = 2.0
-OWNER_WEIGHT = 2.0  # of the owner of all shards
-EQUAL_FRACTION = 0.3  # of the changes a second, split evenly; the rest is split by demand
-WATCH_FRACTION = 0.3  # of the requests a second
-WATCH_WEIGHT = 3.0  # the leader and shard owners wait for events with every job; the others only keep up
+OWNER_WEIGHT = 2.0  # for the owner of all shards; less in proportion for an owner of some
+EQUAL_FRACTION = 0.3  # fraction of the change rate that is split evenly; the rest is split by demand
+WATCH_FRACTION = 0.3  # fraction of the request rate that is used for watches
+WATCH_WEIGHT = 3.0  # the leader and shard owners wait for the events of every job; others only keep their caches fresh
 MIN_WATCH_INTERVAL_S = 0.03
 
 
 class _Weights(Struct, frozen=True):
-    """What each controller's share is computed from."""
+    """Weights by which requests and watches are shared among the controllers."""
 
     requests: dict[NodeId, float]
     watches: dict[NodeId, float]
 
 
 def initial_watch_interval(limits: StateLimits, controllers: int) -> float:
-    """Return the seconds between two watches before anything is known of the other controllers."""
+    """Return the seconds between two watches until the roles of the other controllers are known."""
     return max(MIN_WATCH_INTERVAL_S, controllers / (WATCH_FRACTION * limits.rps))
 
 
 class RateAllocator:
     """Sets the rates of this controller's requests, changes and watches.
 
-    `demand_of` returns the changes a second that a peer needs, by its gossip.
+    `demand_of` returns the changes per second that a peer needs, according to its gossip.
     """
 
     def __init__(
@@ -60,14 +60,14 @@
         self._demand_of = demand_of
 
     def update(self) -> None:
-        """Split the limits among the controllers that are members now."""
+        """Divide the limits among the current members and apply this controller's share."""
         weights = self._weights()
         node_id = self._controller_lease.node_id
-        self._client.requests.rate = self._limits.rps * weights.requests[node_id] / sum(weights.requests.values())
+        self._client.request_tokens.rate = self._limits.rps * weights.requests[node_id] / sum(weights.requests.values())
         demands = {node: weight + self._demand_of(node) for node, weight in weights.requests.items()}
         demands[node_id] = weights.requests[node_id] + self._queue.demand()
         changes_share = EQUAL_FRACTION / len(demands) + (1 - EQUAL_FRACTION) * demands[node_id] / sum(demands.values())
-        self._client.changes.rate = self._limits.write_rps * changes_share
+        self._client.change_tokens.rate = self._limits.write_rps * changes_share
         watches_per_s = WATCH_FRACTION * self._limits.rps * weights.watches[node_id] / sum(weights.watches.values())
         self._watch_cache.watch_interval_s = max(MIN_WATCH_INTERVAL_S, 1 / watches_per_s)
 
--- a/src/cloverplank/kvstore/snapshot.py
+++ b/src/cloverplank/kvstore/snapshot.py
@@ -1,4 +1,4 @@
-"""Reads of committed keys from outside the service, for the commands that show a status."""
+"""Reads of committed keys by the status commands, which run outside the service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 MAX_CONNECTIONS = 4
 MAX_REQUESTS_PER_S = 50.0
-MAX_CHANGES_PER_S = 1.0  # no change is made; a token bucket needs a rate
+MAX_CHANGES_PER_S = 1.0  # no change is made, but a token bucket needs a rate
 
 
 async def _read_prefixes(client: StoreClient, prefixes: Sequence[str]) -> list[KeyValue]:
@@ -26,9 +26,9 @@
 
 
 def read_key_values(platform: PlatformSettings, prefixes: Sequence[str]) -> list[KeyValue]:
-    """Read all key-values under the prefixes. Raises StoreError."""
+    """Read all key-values under the prefixes. Raises StoreError if the store can't be read."""
     clock = Clock()
-    requests = TokenBucket(MAX_REQUESTS_PER_S, clock)
-    changes = TokenBucket(MAX_CHANGES_PER_S, clock)
-    client = StoreClient(Client(MAX_CONNECTIONS), platform.outside.state, clock, requests, changes)
+    request_tokens = TokenBucket(MAX_REQUESTS_PER_S, clock)
+    change_tokens = TokenBucket(MAX_CHANGES_PER_S, clock)
+    client = StoreClient(Client(MAX_CONNECTIONS), platform.outside.state, clock, request_tokens, change_tokens)
     return asyncio.run(_read_prefixes(client, prefixes))
--- a/src/cloverplank/kvstore/token_bucket.py
+++ b/src/cloverplank/kvstore/token_bucket.py
@@ -1,17 +1,17 @@
-"""A token bucket for rates that a service limits."""
+"""A token bucket that keeps requests within the rate limit of a service."""
 
 from __future__ import annotations
 
 from cloverplank.basic_types import Clock
 
-ROUNDING_ERROR = 1e-9  # tokens
+ROUNDING_TOLERANCE = 1e-9  # tokens
 
 
 class TokenBucket:
-    """Tokens that are refilled at `rate` a second.
+    """A bucket that is refilled with `rate` tokens per second.
 
-    The bucket holds `burst_s` seconds' worth, and `min_burst` tokens at least: a controller with a small rate makes
-    few changes, but those of its users come together.
+    Its capacity is the number of tokens refilled in `burst_s` seconds, and at least `min_burst` tokens: a controller
+    with a small rate makes few changes, but its users' changes arrive in bursts.
     """
 
     def __init__(self, rate: float, clock: Clock, burst_s: float = 0.5, min_burst: float = 1.0) -> None:
@@ -19,7 +19,7 @@
         self._burst_s = burst_s
         self._min_burst = min_burst
         self.rate = rate
-        self.taken = 0.0  # tokens, since the start
+        self.taken = 0.0  # total number of tokens taken since the start
         self._level = rate * burst_s
         self._refilled_at = clock.monotonic()
 
@@ -30,26 +30,29 @@
         self._refilled_at = now
 
     def take(self, amount: float = 1.0, reserve: float = 0.0) -> bool:
-        """Take `amount` tokens if `reserve` tokens are left then. Return whether they were taken."""
+        """Take `amount` tokens if at least `reserve` tokens remain afterwards. Return whether they were taken."""
         self._refill()
-        if self._level - amount < reserve - ROUNDING_ERROR:
+        if self._level - amount < reserve - ROUNDING_TOLERANCE:
             return False
         self._level -= amount
         self.taken += amount
         return True
 
-    def force(self, amount: float = 1.0) -> None:
-        """Take tokens for what can't wait, down to a negative level. A negative `amount` gives tokens back."""
+    def take_unconditionally(self, amount: float = 1.0) -> None:
+        """Take tokens for a request that can't wait, even if the level becomes negative.
+
+        A negative `amount` returns tokens to the bucket.
+        """
         self._refill()
         self._level -= amount
         self.taken += amount
 
     def wait(self, amount: float = 1.0) -> float:
-        """Return the seconds until `amount` tokens are there."""
+        """Return the seconds until `amount` tokens are available."""
         self._refill()
         return max(0.0, (amount - self._level) / self.rate)
 
     def drain(self) -> None:
-        """Empty the bucket: the service has answered that its limit is reached."""
+        """Empty the bucket after the service has responded that its rate limit is exceeded."""
         self._refill()
         self._level = min(self._level, 0.0)
--- a/src/cloverplank/kvstore/transaction_queue.py
+++ b/src/cloverplank/kvstore/transaction_queue.py
@@ -1,8 +1,8 @@
 """One rate-limited queue for all transactions of a controller.
 
-Changes to one job are merged into one transaction. A transaction whose outcome is not known is retried unchanged until
-the response is definite: its compares name the mod revisions that it was computed from, so at most one of the copies is
-executed, however late one of them arrives.
+Changes to one job are merged into one transaction. A transaction whose outcome is unknown is retried unchanged until
+the response is definite: its compares name the mod revisions from which it was computed, so at most one of its copies
+is executed, however late they arrive.
 """
 
 from __future__ import annotations
@@ -19,7 +19,6 @@
 from cloverplank.jobs.store import CachedJob, ChangeOutcome, PendingChange
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.client import UNKNOWN_KEY, StoreClient
-from cloverplank.kvstore.demand import DemandMeter
 from cloverplank.kvstore.errors import (
     OutcomeUnknownError,
     QueueFullError,
@@ -31,15 +30,16 @@
 from cloverplank.kvstore.transaction_backlog import QueuedTransaction, Selection, TransactionBacklog
 from cloverplank.kvstore.transaction_priority import TransactionPriority, reserved_changes
 from cloverplank.kvstore.watch_cache import WatchCache
+from cloverplank.kvstore.write_demand import WriteDemandMeter
 from cloverplank.wire.codec import MessageDecodeError, decode
 from cloverplank.wire.kvstore import Compare, Put, Transaction, TransactionResponse
 
 log = logging.getLogger(__name__)
 
-PREPAID_CHANGES = 1.0  # taken from the token bucket when a transaction is selected; the others when it is sent
+PREPAID_CHANGES = 1.0  # tokens taken when a transaction is selected; those for its other changes when it is sent
 MAX_IN_FLIGHT = 8
 MAX_QUEUED = 400
-POLL_INTERVAL_S = 0.02  # between two checks for changes that have become ready
+POLL_INTERVAL_S = 0.02  # time between two checks for changes that have become ready
 MIN_TOKEN_WAIT_S = POLL_INTERVAL_S / 4
 MAX_TOKEN_WAIT_S = POLL_INTERVAL_S * 10
 IDLE_INTERVAL_S = 1.0
@@ -47,12 +47,12 @@
 MAX_RETRY_INTERVAL_S = 0.5
 RETRY_INTERVAL_FACTOR = 1.6
 REREAD_RETRY_INTERVAL_S = 0.2
-GATE_CONFLICT_BACKOFF_S = 0.1  # until the watch has delivered the change of the gate
+GATE_CONFLICT_BACKOFF_S = 0.1  # allows the watch to deliver the change of the gate's key before the retry
 MIN_REJECTED_BACKOFF_S = 0.5
 MAX_REJECTED_BACKOFF_S = 8.0
-BACKLOG_LOG_LENGTH = 60
+MIN_LOGGED_BACKLOG = 60  # transactions and jobs
 BACKLOG_LOG_INTERVAL_S = 10.0
-DEFAULT_MAX_VALUE_BYTES = 64 * 1024  # where no other limit is given
+DEFAULT_MAX_VALUE_BYTES = 64 * 1024  # used if no size limits are given
 
 
 def _ungated(shape: Shape) -> list[Compare]:
@@ -62,7 +62,7 @@
 class TransactionQueue:
     """Sends transactions in the order of their priorities, as fast as the token bucket for changes allows.
 
-    `gate` returns the compares that a write of a record shape is conditional on, beside those of the record.
+    `gate` returns the compares that a write of a record shape is conditional on, in addition to those of the record.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
     ) -> None:
         self._client = client
         self._watch_cache = watch_cache
-        self._store = watch_cache.store
+        self._job_store = watch_cache.store
         self._clock = clock
         self._builder = JobTransactionBuilder(
             watch_cache,
@@ -83,59 +83,60 @@
             gate,
         )
         self._backlog = TransactionBacklog(watch_cache.effective_priorities)
-        self._demand = DemandMeter(clock, client.changes)
+        self._write_demand = WriteDemandMeter(clock, client.change_tokens)
         self._in_flight = 0
         self._tasks = BackgroundTasks()
         self._wake = asyncio.Event()
         self._backlog_logged_at = NEVER
 
     def backlog(self) -> int:
-        """Return how many transactions and jobs with changes are not committed yet."""
+        """Return the number of queued transactions and of jobs whose changes are not committed yet."""
         return len(self._backlog)
 
     def wait_estimate(self) -> float:
-        """Return the seconds after which a transaction that comes now can be sent."""
-        return self._client.changes.wait(len(self._backlog.transactions) + 1.0)
+        """Return the seconds after which a transaction that is queued now can be sent."""
+        return self._client.change_tokens.wait(len(self._backlog.transactions) + 1.0)
 
     def demand(self) -> float:
-        """Return the changes a second that this controller makes, or would make without a rate limit."""
-        return self._demand.sample(self.backlog())
+        """Return the changes per second that this controller makes, or would make without a rate limit."""
+        return self._write_demand.sample(self.backlog())
 
     # -- requests
 
-    def stage(self, view: CachedJob, pending: PendingChange) -> None:
-        """Queue a change of a job. It is visible in the staged record at once."""
-        if self._store.get(view.id) is not view:
-            # The job has ended meanwhile; a transaction on its former record would conflict again and again.
+    def stage(self, job: CachedJob, pending: PendingChange) -> None:
+        """Queue a change of a job. The staged record reflects it immediately."""
+        if self._job_store.get(job.id) is not job:
+            # The job has ended since; a transaction based on its former record would conflict on every retry.
             pending.settle(ChangeOutcome.NOT_APPLICABLE)
             return
-        self._store.stage(view, pending)
-        self._backlog.jobs[view.id] = view
+        self._job_store.stage(job, pending)
+        self._backlog.jobs[job.id] = job
         self._wake.set()
 
-    async def stage_and_wait(self, view: CachedJob, pending: PendingChange) -> ChangeOutcome:
+    async def stage_and_wait(self, job: CachedJob, pending: PendingChange) -> ChangeOutcome:
         """Queue a change of a job and wait for its outcome."""
         future: asyncio.Future[ChangeOutcome] = asyncio.get_running_loop().create_future()
         pending.future = future
-        self.stage(view, pending)
+        self.stage(job, pending)
         return await future
 
     async def commit(
         self, transaction: Transaction, priority: TransactionPriority, *, once: bool = False
     ) -> TransactionResponse:
-        """Send any other transaction and wait for its response; with `once` it is not retried.
+        """Send a transaction that is not a change of an open job, and wait for its response.
 
-        Raises TransactionRejectedError, QueueFullError where nothing was sent, and with `once` any StoreError.
+        It is retried until its outcome is known, unless `once` is set. Raises TransactionRejectedError, QueueFullError
+        if nothing was sent, and with `once` any StoreError.
         """
         if len(self._backlog.transactions) >= MAX_QUEUED:
-            raise QueueFullError
+            raise QueueFullError(f"{MAX_QUEUED} transactions are queued already")
         queued = QueuedTransaction(transaction, priority, asyncio.get_running_loop().create_future(), not once)
         self._backlog.transactions.append(queued)
         self._wake.set()
         try:
             return await queued.future
         except asyncio.CancelledError:
-            # Given up by its sender: if it was not sent yet, it never is.
+            # The caller no longer waits: if the transaction was not sent yet, it is dropped.
             if queued in self._backlog.transactions:
                 self._backlog.transactions.remove(queued)
             raise
@@ -143,8 +144,8 @@
     # -- the loop
 
     async def run(self) -> None:
-        """Send what is queued. Never returns."""
-        changes = self._client.changes
+        """Send the queued transactions and the pending changes of jobs. Never returns."""
+        change_tokens = self._client.change_tokens
         while True:
             self._wake.clear()
             now = self._clock.monotonic()
@@ -153,24 +154,25 @@
             if selection is None:
                 await wait_for_event(self._wake, POLL_INTERVAL_S if self.backlog() else IDLE_INTERVAL_S)
                 continue
-            # Taken here and not by the task that sends it: several of them would be selected before the first has
-            # paid, and a transaction of a higher priority would then wait for all of them.
-            reserved = reserved_changes(selection.priority, changes.rate)
-            if changes.take(PREPAID_CHANGES, reserved):
+            # The first token is taken here and not by the sending task: otherwise several transactions would be
+            # selected before the first of them takes its tokens, and a transaction of a higher priority would then
+            # wait for all of them.
+            reserved = reserved_changes(selection.priority, change_tokens.rate)
+            if change_tokens.take(PREPAID_CHANGES, reserved):
                 self._send(selection)
             else:
-                wait_s = changes.wait(PREPAID_CHANGES + reserved)
+                wait_s = change_tokens.wait(PREPAID_CHANGES + reserved)
                 await wait_for_event(self._wake, min(MAX_TOKEN_WAIT_S, max(MIN_TOKEN_WAIT_S, wait_s)))
 
     def _log_backlog(self, now: MonotonicTime) -> None:
-        if self.backlog() < BACKLOG_LOG_LENGTH or now - self._backlog_logged_at < BACKLOG_LOG_INTERVAL_S:
+        if self.backlog() < MIN_LOGGED_BACKLOG or now - self._backlog_logged_at < BACKLOG_LOG_INTERVAL_S:
             return
         self._backlog_logged_at = now
         log.info(
             "transaction queue: %d wait (%s) for %.1f changes a second",
             self.backlog(),
             ", ".join(f"{count} {priority}" for priority, count in self._backlog.count_by_priority().most_common()),
-            self._client.changes.rate,
+            self._client.change_tokens.rate,
         )
 
     def _send(self, selection: Selection) -> None:
@@ -187,15 +189,15 @@
         pause_s, prepaid = MIN_RETRY_INTERVAL_S, PREPAID_CHANGES
         while True:
             try:
-                return await self._client.commit(transaction, reserved=prepaid)
+                return await self._client.commit(transaction, prepaid=prepaid)
             except (StoreUnavailableError, OutcomeUnknownError) as err:
-                log.debug("transaction retried: %s", err)
+                log.debug("transaction failed, retrying in %.1f s: %s", pause_s, err)
             prepaid = 0.0
             await asyncio.sleep(pause_s)
             pause_s = min(MAX_RETRY_INTERVAL_S, pause_s * RETRY_INTERVAL_FACTOR)
 
     def _apply_committed(self, transaction: Transaction, mod_revision: ModRevision) -> None:
-        """Bring the cache up to date without waiting for the watch."""
+        """Apply a committed transaction to the watch cache without waiting for the watch."""
         for change in transaction.changes:
             if isinstance(change, Put):
                 self._watch_cache.put(change.key, change.value, mod_revision)
@@ -209,15 +211,15 @@
             if queued.retried:
                 response = await self._commit_with_retries(queued.transaction)
             else:
-                response = await self._client.commit(queued.transaction, reserved=PREPAID_CHANGES)
+                response = await self._client.commit(queued.transaction, prepaid=PREPAID_CHANGES)
             if not response.conflicts:
                 self._apply_committed(queued.transaction, ModRevision(response.revision))
             if not queued.future.done():
                 queued.future.set_result(response)
         except StoreError as err:
             _fail(queued.future, err)
-        except Exception as err:  # outermost level of the task: the sender must not wait for ever
-            log.exception("transaction failed")
+        except Exception as err:  # outermost level of the task: the caller must not wait indefinitely
+            log.exception("transaction of priority %s failed", queued.priority.name)
             _fail(queued.future, err)
         finally:
             self._in_flight -= 1
@@ -230,7 +232,7 @@
             await self._commit_job(job)
         except TransactionRejectedError as err:
             self._reject(job, err)
-        except Exception:  # outermost level of the task: the job is tried again
+        except Exception:  # outermost level of the task: the job's changes are retried
             log.exception("transaction of %s failed", job.id)
         finally:
             job.in_flight = False
@@ -239,55 +241,57 @@
 
     async def _commit_job(self, job: CachedJob) -> None:
         if job.stale and not await self._reread(job):
-            self._return_prepaid()
+            self._refund_prepaid_tokens()
             await asyncio.sleep(REREAD_RETRY_INTERVAL_S)
             return
-        built = self._builder.build(job)
-        if built is None:
-            self._return_prepaid()
+        job_transaction = self._builder.build(job)
+        if job_transaction is None:
+            self._refund_prepaid_tokens()
             return
-        response = await self._commit_with_retries(built.transaction)
+        response = await self._commit_with_retries(job_transaction.transaction)
         if response.conflicts:
-            self._handle_conflicts(job, built, response.conflicts)
+            self._handle_conflicts(job, job_transaction, response.conflicts)
             return
         job.rejections = 0
-        for pending in built.committed:
+        for pending in job_transaction.committed:
             pending.settle(ChangeOutcome.COMMITTED)
-        # The watch may have delivered this transaction before its response came. The changes are unstaged in any case,
-        # or the staged record would have them twice.
-        self._store.unstage(job, built.committed)
-        self._apply_committed(built.transaction, ModRevision(response.revision))
+        # The watch may have delivered this transaction before its response arrived. The changes are unstaged in any
+        # case; otherwise the staged record would contain them twice.
+        self._job_store.unstage(job, job_transaction.committed)
+        self._apply_committed(job_transaction.transaction, ModRevision(response.revision))
 
-    def _return_prepaid(self) -> None:
-        self._client.changes.force(-PREPAID_CHANGES)
+    def _refund_prepaid_tokens(self) -> None:
+        self._client.change_tokens.take_unconditionally(-PREPAID_CHANGES)
 
-    def _handle_conflicts(self, job: CachedJob, built: JobTransaction, conflicts: list[str]) -> None:
-        log.debug("transaction of %s conflicts: %s", job.id, conflicts)
+    def _handle_conflicts(self, job: CachedJob, job_transaction: JobTransaction, conflicts: list[str]) -> None:
+        log.debug("transaction of %s conflicts on keys %s", job.id, conflicts)
         if keys.job(job.id) in conflicts or UNKNOWN_KEY in conflicts:
             job.stale = True
         elif keys.ROLLOUT in conflicts or keys.FORMAT in conflicts:
             job.retry_at = MonotonicTime(self._clock.monotonic() + GATE_CONFLICT_BACKOFF_S)
-        lost = [
-            pending for pending in built.committed if any(compare.key in conflicts for compare in pending.conditions)
+        conflicting = [
+            pending
+            for pending in job_transaction.committed
+            if any(compare.key in conflicts for compare in pending.conditions)
         ]
-        self._store.unstage(job, lost)
-        for pending in lost:
+        self._job_store.unstage(job, conflicting)
+        for pending in conflicting:
             pending.settle(ChangeOutcome.CONFLICT)
 
     def _reject(self, job: CachedJob, err: TransactionRejectedError) -> None:
-        """Drop the changes of the job and back off: the store rejects the next one, too, as long as nothing changes."""
+        """Drop the changes of the job and back off: until something changes, the store rejects them again."""
         backoff_s = min(MAX_REJECTED_BACKOFF_S, MIN_REJECTED_BACKOFF_S * 2**job.rejections)
         job.rejections += 1
         job.retry_at = MonotonicTime(self._clock.monotonic() + backoff_s)
         job.stale = True
         log.error("transaction of %s rejected: %s; backing off for %.1f s", job.id, err, backoff_s)
         dropped = list(job.pending)
-        self._store.unstage(job, dropped)
+        self._job_store.unstage(job, dropped)
         for pending in dropped:
             pending.settle(ChangeOutcome.NOT_APPLICABLE)
 
     async def _reread(self, job: CachedJob) -> bool:
-        """Read a job whose cached record is stale. Return whether that was possible."""
+        """Read a job whose cached record is stale. Return whether it could be read."""
         key = keys.job(job.id)
         try:
             stored = await self._client.get(key)
@@ -305,7 +309,7 @@
         if stored is None:
             return
         self._watch_cache.record_final(job.id, decode(bytes(stored.value), FinalRecord).phase)
-        self._store.remove(job.id, ModRevision(stored.mod_revision))
+        self._job_store.remove(job.id, ModRevision(stored.mod_revision))
 
 
 def _fail(future: asyncio.Future[TransactionResponse], err: Exception) -> None:
--- a/tests/kvstore/test_client.py
+++ b/tests/kvstore/test_client.py
@@ -146,15 +146,15 @@
     http.result = make_response(429)
     with pytest.raises(StoreUnavailableError):
         asyncio.run(get(client))
-    assert not client.requests.take(0.1)
-    assert not client.changes.take(0.1)
+    assert not client.request_tokens.take(0.1)
+    assert not client.change_tokens.take(0.1)
 
 
 def test_transaction_takes_a_token_for_each_change_that_is_not_prepaid(client: StoreClient, http: FakeHttp) -> None:
     http.result = make_response(200, TransactionResponse(5))
-    asyncio.run(client.commit(TRANSACTION, reserved=1.0))
-    assert client.requests.taken == 1.0
-    assert client.changes.taken == 1.0
+    asyncio.run(client.commit(TRANSACTION, prepaid=1.0))
+    assert client.request_tokens.taken == 1.0
+    assert client.change_tokens.taken == 1.0
 
 
 @pytest.mark.parametrize(
--- a/tests/kvstore/test_token_bucket.py
+++ b/tests/kvstore/test_token_bucket.py
@@ -42,7 +42,7 @@
 
 
 def test_forced_tokens_make_later_ones_wait(bucket: TokenBucket) -> None:
-    bucket.force(BURST + 1.0)
+    bucket.take_unconditionally(BURST + 1.0)
     assert bucket.wait(1.0) == pytest.approx(2.0 / RATE)
 
 
