--- a/src/cloverplank/records/cluster.py
+++ b/src/cloverplank/records/cluster.py
@@ -6,20 +6,23 @@
 
 from msgspec import Meta, Struct
 
-NO_LEASE = 0  # of a record that belongs to no process: a controller joins only by replacing it
+NO_LEASE = 0  # lease id of a record without a process: it bars a controller, which joins only by replacing it
 
 
 class NodeRecord(Struct, frozen=True):
-    """A live controller. Its key is attached to its lease."""
+    """A controller. The key of a live controller is attached to its lease."""
 
     zone: str
     lease: int
-    format: Annotated[int, Meta(ge=0)] = 0  # newest cluster version that its process supports; old programs omit it
-    lowest: Annotated[int, Meta(ge=0)] | None = None  # the oldest one; programs without staged rollouts omit it
-    goal: Annotated[int, Meta(ge=0)] | None = None  # cluster version that its operators want; None: rollouts are off
+    # newest cluster version that the process supports; old programs omit it
+    format: Annotated[int, Meta(ge=0)] = 0
+    # oldest cluster version that the process supports; programs without staged rollouts omit it
+    lowest: Annotated[int, Meta(ge=0)] | None = None
+    # cluster version that the operators want; None: rollouts are switched off
+    goal: Annotated[int, Meta(ge=0)] | None = None
 
     def is_live(self) -> bool:
-        """Return whether the record is that of a process, and not one that keeps others out."""
+        """Return whether the record belongs to a process; one without a lease only bars programs from joining."""
         return self.lease != NO_LEASE
 
 
--- a/src/cloverplank/records/machines.py
+++ b/src/cloverplank/records/machines.py
@@ -6,7 +6,7 @@
 
 
 class ProvisioningRecord(Struct, frozen=True):
-    """A scale-out request, committed before the cloud is called."""
+    """A scale-out request, committed before the request is sent to the cloud."""
 
     type: str
     zone: str
@@ -17,8 +17,8 @@
 
 
 class DrainRecord(Struct, frozen=True):
-    """A batch of machines that are scaled in."""
+    """A batch of machines that are being scaled in."""
 
     updated_at: int = field(name="at")  # time of day, ms
-    draining: dict[str, str] = field(default_factory=dict)  # machine -> reason, while its tasks leave it
-    terminated: list[str] = field(name="gone", default_factory=list)  # confirmed by the cloud
+    draining: dict[str, str] = field(default_factory=dict)  # machine -> reason, until its tasks have left it
+    terminated: list[str] = field(name="gone", default_factory=list)  # termination confirmed by the cloud
--- a/src/cloverplank/records/rollout.py
+++ b/src/cloverplank/records/rollout.py
@@ -15,35 +15,35 @@
     """The phase of a rollout; the transitions are in `docs/rollout.md`."""
 
     FINALIZED = "finalized"  # no rollout is in progress
-    PREPARED = "prepared"  # all controllers support the target version, none writes it
-    SOAK = "soak"  # the same, observed for a while
-    ACTIVE = "active"  # the new version's shapes are written, older records are migrated
-    RETREATING = "retreating"  # the version's shapes are not written any more, its records are migrated back
+    PREPARED = "prepared"  # all controllers support the target version, none writes its shapes
+    SOAK = "soak"  # as PREPARED, while the controllers are observed for a set time
+    ACTIVE = "active"  # the target version's shapes are written, older records are migrated
+    RETREATING = "retreating"  # the version's shapes are no longer written, its records are migrated back
 
 
 class RolloutRecord(Struct, frozen=True):
-    """The cluster version and its phase. Without a stored record, `initial_record` is valid."""
+    """The cluster version and the phase of its rollout. Without a stored record, `initial_record` applies."""
 
     version: Version
     phase: RolloutPhase
     target: Version  # the version that the phase leads to
     since: int = 0  # time of day, ms, at which the phase began
-    controllers: dict[str, int] = field(default_factory=dict)  # in a soak: mod revisions of the controllers' keys
+    controllers: dict[str, int] = field(default_factory=dict)  # during a soak: mod revisions of the controllers' keys
     excused: list[str] = field(default_factory=list)  # controllers that the last activation did not wait for
 
 
 class FormatRecord(Struct, frozen=True):
     """The version announced to programs that don't read `RolloutRecord`.
 
-    Every controller supports it, and none joins that does not.
+    Every controller supports it; one that does not can't join.
     """
 
     version: Version
 
 
 def initial_record(announced: int) -> RolloutRecord:
-    """Return the record that is valid before the first rollout.
+    """Return the record that applies before the first rollout.
 
-    `announced` is the version of the format key, 0 without one.
+    `announced` is the version of the format key, 0 if the key does not exist.
     """
     return RolloutRecord(announced, RolloutPhase.FINALIZED, announced)
--- a/src/cloverplank/records/verdicts.py
+++ b/src/cloverplank/records/verdicts.py
@@ -8,12 +8,15 @@
 
 
 class VerdictRecord(Struct, frozen=True):
-    """A committed verdict, written by the transaction that hands the shard over, so each is executed once."""
+    """A committed verdict on a controller, and the handover of its shard that follows from it.
+
+    Both are written by one transaction, so each verdict is executed once.
+    """
 
     node: str
     incarnation: Annotated[int, Meta(ge=0)]
     decided_at: int = field(name="at")  # time of day, ms
-    count: Annotated[int, Meta(ge=0)]  # verdicts on this controller in a row, each soon after the one before
-    zone: str  # the shard that was handed over
-    to: str  # the controller that it was handed over to
+    count: Annotated[int, Meta(ge=0)]  # consecutive verdicts on this controller, each soon after the previous one
+    zone: str  # zone of the shard that was handed over
+    to: str  # controller that received the shard
     reason: str = field(name="why")
