--- a/tests/kvstore/conftest.py
+++ b/tests/kvstore/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of the store's client side."""
+"""Fixtures for the tests of the client side of the key-value store."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ManualClock:
-    """Seconds that pass only when a test says so."""
+    """A monotonic clock that advances only when a test sets `now`."""
 
     def __init__(self) -> None:
         self.now = 100.0
--- a/tests/kvstore/fake_store.py
+++ b/tests/kvstore/fake_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the key-value store, and a transaction queue that talks to it in virtual time."""
+"""Fakes of the key-value store, and a transaction queue that sends to them in virtual time."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class FakeStore:
-    """Executes every request after a few milliseconds, and notes when it was sent."""
+    """Executes every request after RESPONSE_TIME_S and records when it was sent."""
 
     def __init__(self) -> None:
         self.sent_at: list[float] = []
@@ -41,7 +41,7 @@
 
 
 class RejectingStore(FakeStore):
-    """Rejects the transactions of all jobs, and executes everything else."""
+    """Rejects all transactions of jobs and executes every other request."""
 
     async def request(
         self, addr: str, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class RunningQueue:
-    """A transaction queue with what it works on."""
+    """A running transaction queue with its clock and watch cache."""
 
     clock: Clock
     watch_cache: WatchCache
--- a/tests/kvstore/test_client.py
+++ b/tests/kvstore/test_client.py
@@ -1,4 +1,4 @@
-"""Requests to the store: which errors responses are, and what they count against."""
+"""Requests to the store: the errors that responses and failures raise, and the tokens that requests take."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class FakeHttp:
-    """Gives every request the same response, or fails it with the same error."""
+    """Returns the same response to every request, or raises the same error."""
 
     def __init__(self) -> None:
         self.result: Response | Exception = make_response(200)
--- a/tests/kvstore/test_controller_lease.py
+++ b/tests/kvstore/test_controller_lease.py
@@ -1,4 +1,4 @@
-"""What a controller may do without the store, and what it learns of cancellations meanwhile."""
+"""What a controller may do without contact to the store, and how it receives cancellations in that time."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 from tests.simulation.overlapping_faults import leader_refused_then_store_outage, play_overlapping_faults
 from tests.simulation.world import SETTINGS, World
 
-STARTED_AFTER_S = 25  # by when submitted services run
-MAX_STOP_S = 1.0  # from a peer's gossip to the end of the tasks
+STARTED_AFTER_S = 25  # submitted services are running after this time
+MAX_STOP_S = 1.0  # longest time from a peer's gossip to the end of the tasks
 REPLICAS = 3
 
 
 async def start_services(world: World, numbers: Iterable[int], replicas: int = REPLICAS) -> list[dict]:
-    """Submit services of these numbers and wait until they run."""
+    """Submit services with these numbers and wait until they are running."""
     jobs = [world.job(n, shape="service", pieces=replicas, lane="web", loaners=False) for n in numbers]
     await asyncio.gather(*(world.submit(job) for job in jobs))
     await asyncio.sleep(STARTED_AFTER_S)
@@ -50,7 +50,10 @@
 def test_no_setting_raises_the_contact_bound_above_what_a_cancellation_allows(
     lease_s: float, cancel_s: float, margin_s: float, own_lease_s: float
 ) -> None:
-    """A controller's lease was a floor under the bound: with a short cancel_s shard owners answered for too long."""
+    """Guards against a contact bound that is never shorter than a controller's lease.
+
+    With a short cancel_s, shard owners then answer workers for too long.
+    """
     text = GOOD.replace("lease_s = 8.0", f"lease_s = {lease_s}").replace("cancel_s = 30.0", f"cancel_s = {cancel_s}")
     refusal = None
     try:
@@ -92,8 +95,10 @@
 
 
 def test_shard_owner_without_a_lease_answers_no_worker() -> None:
-    """Until its next scheduling cycle it answered heartbeats as if it owned its shard, since the token of an assignment
-    that does not exist equalled one that was never changed.
+    """Guards against a controller without a lease that answers heartbeats until its next scheduling cycle.
+
+    It counts as the owner of its shard if the token of an assignment that does not exist equals one that was never
+    changed.
     """
 
     async def work() -> None:
@@ -113,7 +118,10 @@
 
 
 def test_refused_shard_owner_stops_what_a_peer_says_is_cancelled() -> None:
-    """It heard of cancellations from the store alone, and started and went on with their tasks until the bound."""
+    """Guards against a shard owner that receives cancellations only from the store.
+
+    If the store refuses it, it starts and continues the tasks of cancelled jobs until the contact bound.
+    """
 
     async def work() -> tuple[float, int]:
         world = World(seed=43)
@@ -142,7 +150,7 @@
 
 
 def test_wrong_gossip_of_a_cancellation_has_no_lasting_effect() -> None:
-    """Gossip makes a controller more careful, but never for longer than the store does not answer."""
+    """Gossip of a cancellation stops tasks, but for no longer than the store does not answer."""
 
     async def work() -> None:
         world = World(seed=44)
@@ -158,8 +166,8 @@
     run(work())
 
 
-class LeaseLog:
-    """The leases that a client was granted and has revoked. The first join gets no response."""
+class LeaseRecorder:
+    """Records the leases that a client was granted and has revoked; the first join gets no response."""
 
     def __init__(self, client: StoreClient) -> None:
         self.granted: list[LeaseId] = []
@@ -182,8 +190,10 @@
 
 
 def test_join_without_a_response_leaves_no_lease_that_could_be_registered_late() -> None:
-    """Executed late it named a lease that nobody renewed, in the place of the one the controller had by then: a new
-    shard owner took that for proof that the former one had ended.
+    """Guards against a join that is executed late and replaces the controller's current lease in its record.
+
+    The record then names a lease that is not renewed, and a new shard owner takes that as proof that the former owner
+    has ended.
     """
 
     async def work() -> set[LeaseId]:
@@ -191,7 +201,7 @@
         await asyncio.sleep(3)
         controller, _ = world.controllers["c-1"]
         controller.controller_lease._expire("for the test")
-        leases = LeaseLog(controller.client)
+        leases = LeaseRecorder(controller.client)
         await asyncio.sleep(5)
         assert controller.controller_lease.lease == leases.granted[-1]
         assert len(leases.granted) >= 2
@@ -200,9 +210,11 @@
     assert not run(work())
 
 
-def test_cancelled_tasks_go_on_without_the_contact_bound(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The overlapping faults are among those of the simulation and were never found broken; without the bound, and
-    without a peer's gossip of the cancellation, its tasks go on.
+def test_cancelled_tasks_continue_without_the_contact_bound(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Shows that the simulation detects a missing contact bound.
+
+    Without the bound, and without a peer's gossip of the cancellation, the tasks of a cancelled job continue to run.
+    With them, the simulation of the same overlapping faults has never found a violation.
     """
     init = ControllerLease.__init__
 
@@ -211,15 +223,15 @@
 
     monkeypatch.setattr(ControllerLease, "__init__", unbounded)
     monkeypatch.setattr("cloverplank.jobs.store.JobStore.note_gossiped_cancellation", lambda self, job, now: None)
-    # Shard owners answer workers, so the store has to refuse one of them: the leader alone answers none.
+    # The store has to refuse a shard owner, since shard owners answer workers; the leader by itself answers none.
     assert (
         "ran_cancelled"
         in play_overlapping_faults(leader_refused_then_store_outage, 308, 1, strikes_shard_owner=True).rules.violations
     )
 
 
-class SlowStore:
-    """Watches that hang, slow responses, and a change log that is compacted, now and then."""
+class UnreliableStore:
+    """Makes half of the watches hang, delays all responses, and answers some watches with a compacted change log."""
 
     def __init__(self, world: World, client: StoreClient) -> None:
         self._random = world.random
@@ -238,7 +250,7 @@
 
 
 def commit_key(world: World, key: str) -> ModRevision:
-    """Write a key as another client of the store."""
+    """Write a key in the store as if another client had written it."""
     world.state.revision += 1
     world.state.items[key] = ({}, world.state.revision, None)
     world.state.log.append({"put": key, "value": {}, "stamp": world.state.revision})
@@ -248,13 +260,13 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_all_committed_before_the_contact_is_known(seed: int) -> None:
-    """Contact counts from when a request was sent, whatever was answered when."""
+    """The time of the last contact is when a request was sent, regardless of when which responses arrive."""
 
     async def work() -> None:
         world = World(seed=50 + seed)
         await asyncio.sleep(5)
         controller, _ = world.controllers[other_controllers(world, leader(world))[0]]
-        SlowStore(world, controller.client)
+        UnreliableStore(world, controller.client)
         committed: list[tuple[float, ModRevision]] = []
         for number in range(60):
             await asyncio.sleep(0.5)
--- a/tests/kvstore/test_linearizable_reader.py
+++ b/tests/kvstore/test_linearizable_reader.py
@@ -1,4 +1,4 @@
-"""Linearizable reads: what is asked at the same moment shares one compare, and not its failures."""
+"""Linearizable reads: concurrent reads share one transaction of compares, but not the failures of single reads."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def test_unreadable_record_leaves_other_reads_their_answers() -> None:
-    """All that were asked about in the same moment went without an answer, for as long as it was among them."""
+    """Guards against an unreadable record that fails every read of its batch, as long as it is among them."""
 
     async def play() -> list[int]:
         world = World(seed=70)
@@ -28,7 +28,10 @@
 
 
 def test_reads_are_answered_while_transactions_are_held_up() -> None:
-    """A compare is a transaction, too: each that was held up took two seconds, as long as users wait at all."""
+    """Compares are transactions, too: a delayed one takes two seconds, which is as long as users wait for a response.
+
+    The jobs must be read one by one instead.
+    """
 
     async def play() -> tuple[int, float]:
         world = World(seed=71)
--- a/tests/kvstore/test_token_bucket.py
+++ b/tests/kvstore/test_token_bucket.py
@@ -1,4 +1,4 @@
-"""The token bucket that requests and changes count against."""
+"""The token bucket from which requests and changes take their tokens."""
 
 from __future__ import annotations
 
--- a/tests/kvstore/test_transaction_queue.py
+++ b/tests/kvstore/test_transaction_queue.py
@@ -1,4 +1,4 @@
-"""The transaction queue, against a stand-in for the store in virtual time and in the simulated world."""
+"""The transaction queue, with a fake store in virtual time and in the simulated world."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.simulation.world import World
 
 JOB = JobId("run-000001")
-BURST_S = 0.5  # seconds' worth of changes that may be made at once
+BURST_S = 0.5  # a burst may have the changes of this time
 
 
 def put(key: str) -> Transaction:
@@ -30,8 +30,10 @@
 
 
 def test_submission_does_not_wait_for_a_burst_of_transactions_of_lower_priority() -> None:
-    """All queued ones were sent at once, before any of them was paid: a submission that came then was answered after
-    the whole burst had been paid, a quarter of a second later.
+    """Guards against queued transactions that are all sent before any of them has taken its tokens.
+
+    A submission that arrives then is answered only after the tokens of the whole burst are refilled, a quarter of a
+    second later.
     """
 
     async def play() -> tuple[float, int]:
@@ -58,8 +60,9 @@
 
 
 def test_change_of_an_ended_job_is_not_applicable_and_never_sent() -> None:
-    """A cancellation that met the end of its job was staged on what the job had been: its transaction conflicted and
-    was built again for ever, at the cost of all others.
+    """Guards against a cancellation that arrives as its job ends and is staged on the job's former record.
+
+    Its transaction conflicts and is built again indefinitely, which delays all others.
     """
 
     async def play() -> None:
@@ -83,8 +86,10 @@
 
 
 def test_leaders_transactions_that_are_executed_late_restore_nothing() -> None:
-    """Scale-out requests and drains were written on the leader's mod revision alone: a copy that came after newer ones
-    of the same leader opened a finished request again, and made terminated machines draining.
+    """Guards against scale-out requests and drains that are conditional only on the leader's mod revision.
+
+    A copy of such a transaction that arrives after newer ones of the same leader reopens a finished request, and marks
+    terminated machines as draining.
     """
 
     async def play() -> None:
@@ -92,19 +97,20 @@
         executed: list[dict] = []
         execute = world.state._commit
 
-        def noting(request: dict) -> tuple:
+        def recording(request: dict) -> tuple:
             result = execute(request)
             writes = request.get("writes") or []
             if result[0] == 200 and any("/hire/" in str(write) or "/ret/" in str(write) for write in writes):
                 executed.append(request)
             return result
 
-        world.state._commit = noting
+        world.state._commit = recording
         await asyncio.gather(*(world.follow(world.job(n, pieces=4)) for n in range(6)))
         await asyncio.sleep(120)
         assert len(executed) >= 4
         items_before, machines_before = dict(world.state.items), len(world.machines)
-        # Only what created a key that is deleted by now is executed again, and opens a scale-out request.
+        # Only transactions that created a key that has since been deleted are executed again; they open scale-out
+        # requests.
         statuses = [execute(request)[0] for request in executed]
         assert statuses.count(409) >= len(executed) / 2
         assert {key for key in world.state.items.keys() - items_before.keys() if "/hire/" not in key} == set()
@@ -116,11 +122,13 @@
 
 
 def test_rejected_job_backs_off_and_delays_no_other_transaction() -> None:
-    """After the limits of the store fell, transactions that it called too large were built again at once, several times
-    a second for each such job, at the cost of all others.
+    """Guards against transactions that are rebuilt immediately after the store has rejected them as too large.
+
+    After the limits of the store are lowered, this happens several times a second for each such job, and delays all
+    others.
     """
 
-    async def stage_again_and_again(running: RunningQueue) -> None:
+    async def stage_repeatedly(running: RunningQueue) -> None:
         while True:  # as each scheduling cycle does
             view = running.watch_cache.store.jobs[JOB]
             if not view.pending:
@@ -132,7 +140,7 @@
         store = RejectingStore()
         async with running_queue(store) as running:
             running.watch_cache.put(f"cp/job/{JOB}", JobRecord(spec(), 1), ModRevision(3))
-            staging = asyncio.ensure_future(stage_again_and_again(running))
+            staging = asyncio.ensure_future(stage_repeatedly(running))
             await asyncio.sleep(30.0)
             took_s = await seconds_to_commit(running, TransactionPriority.DONE)
             staging.cancel()
--- a/tests/kvstore/test_watch_cache.py
+++ b/tests/kvstore/test_watch_cache.py
@@ -1,4 +1,4 @@
-"""The watch cache while keys change as it is loaded."""
+"""The watch cache when keys change while it is loaded."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 ZONE = Zone("a")
 ASSIGNMENT = Transaction([], [Put(keys.shard(ZONE), ShardRecord(ZONE, "c-1", 7))])
 OTHER_CHANGE = Transaction([], [Put(keys.node("c-2"), {"yard": ZONE, "hold": 8})])
-READS = 2  # of which a load of a small store consists
+READS = 2  # requests that load a small store
 
 
 class ChangingStore:
-    """A key-value store in which a shard is assigned just after so many reads."""
+    """A key-value store in which a shard is assigned immediately after `reads_before` reads."""
 
     def __init__(self, changes_before: int, reads_before: int) -> None:
         self._store = KeyValueStore(asyncio.get_running_loop().time)
@@ -51,8 +51,8 @@
         return make_response(status, answer)
 
 
-# A task ran twice, and a zone had no owner: a first assignment was not in the cache of a controller that had begun to read
-# the store while it was empty.
+# Guards against a first assignment that is missing from the cache of a controller that started to read the store while
+# the store was empty: a task then runs twice, or a zone has no owner.
 @pytest.mark.parametrize("reads_before", range(1, READS + 1))
 @pytest.mark.parametrize("changes_before", [0, 1, 3])
 def test_change_between_the_reads_of_a_load_is_known_after_the_next_watch(
