--- a/src/cloverplank/controller/composition.py
+++ b/src/cloverplank/controller/composition.py
@@ -279,7 +279,7 @@
             zone,
             token,
             services,
-            may_start=lambda: self.controller_lease.check() is LeaseState.ACTIVE and zone in self.shards,
+            may_start=lambda: self.controller_lease.refresh_state() is LeaseState.ACTIVE and zone in self.shards,
         )
 
     # -- what parts are told
--- a/src/cloverplank/kvstore/controller_lease.py
+++ b/src/cloverplank/kvstore/controller_lease.py
@@ -124,7 +124,7 @@
         """Return the time up to which this controller has received every committed change."""
         return min(self.renewed_at, self._watch_cache.complete_until)
 
-    def check(self) -> LeaseState:
+    def refresh_state(self) -> LeaseState:
         """Update the state of the lease by the clock and return it."""
         if self.lease is None and self.state in (LeaseState.JOINING, LeaseState.EXPIRED):
             return self.state
@@ -154,7 +154,7 @@
             return None
         if self._watch_cache.revision < leader.mod_revision:
             return None  # the watch cache may still lack changes committed before the election
-        return leader.mod_revision if self.check() is LeaseState.ACTIVE else None
+        return leader.mod_revision if self.refresh_state() is LeaseState.ACTIVE else None
 
     def assigned_token(self, zone: Zone) -> FencingToken | None:
         """Return the fencing token of a shard assigned to this controller, None if it is not assigned to it.
@@ -231,7 +231,7 @@
         self.renewed_at = sent_at
         self._watch_cache.put(key, record, ModRevision(response.revision))
         log.info("lease: %s joined with lease %d", self.node_id, lease)
-        self.check()
+        self.refresh_state()
         self._changed()
 
     def _expire(self, reason: str) -> None:
@@ -258,7 +258,7 @@
             except (StoreUnavailableError, OutcomeUnknownError) as err:
                 log.debug("lease: request failed, retrying in %.1f s: %s", FAILED_RENEWAL_RETRY_S, err)
                 pause_s = FAILED_RENEWAL_RETRY_S
-            self.check()
+            self.refresh_state()
             await asyncio.sleep(pause_s)
 
     def _renewal_interval_s(self) -> float:
@@ -283,7 +283,7 @@
         """Try to acquire leadership if there is no leader. Return whether this controller was elected."""
         if (
             self.lease is None
-            or self.check() is not LeaseState.ACTIVE
+            or self.refresh_state() is not LeaseState.ACTIVE
             or self._clock.monotonic() < self.declines_assignments_until
         ):
             return False
--- a/src/cloverplank/shard/heartbeat_handler.py
+++ b/src/cloverplank/shard/heartbeat_handler.py
@@ -61,7 +61,7 @@
         shard = self._owned.shards.get(zone)
         if shard is None or shard.ownership.superseded:
             return None
-        if self._controller_lease.check() is LeaseState.EXPIRED:
+        if self._controller_lease.refresh_state() is LeaseState.EXPIRED:
             return _unavailable("out of touch", REFUSED_RETRY_S)
         # None: the lease has certainly expired, and the assignment with it.
         assigned_token = self._controller_lease.assigned_token(zone)
--- a/src/cloverplank/shard/owned_shards.py
+++ b/src/cloverplank/shard/owned_shards.py
@@ -138,7 +138,7 @@
 
         `peers_are_healthy`: some other controller could own the shard.
         """
-        if self._controller_lease.check() is not LeaseState.ACTIVE:
+        if self._controller_lease.refresh_state() is not LeaseState.ACTIVE:
             return
         ownership = shard.ownership
         if ownership.superseded and self._controller_lease.contact_at() > ownership.superseded_at + REINSTATE_DELAY_S:
--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -189,13 +189,13 @@
 
 def test_start_after_a_confirmed_cancellation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """A shard owner that the store refuses goes on starting what it placed before."""
-    real = controller_lease.ControllerLease.check
+    real = controller_lease.ControllerLease.refresh_state
 
     def active_instead_of_grace(self) -> controller_lease.LeaseState:
         found = real(self)
         return controller_lease.LeaseState.ACTIVE if found is controller_lease.LeaseState.GRACE else found
 
-    monkeypatch.setattr(controller_lease.ControllerLease, "check", active_instead_of_grace)
+    monkeypatch.setattr(controller_lease.ControllerLease, "refresh_state", active_instead_of_grace)
     monkeypatch.setattr("cloverplank.jobs.store.JobStore.note_gossiped_cancellation", lambda self, job, now: None)
 
     async def play() -> set[str]:
@@ -271,7 +271,9 @@
 def test_shard_owner_that_never_stops_without_contact_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """The lease of a controller never expires in its own eyes."""
     assert not broken(cancelled_while_shard_owner_is_isolated)
-    monkeypatch.setattr(controller_lease.ControllerLease, "check", lambda self: controller_lease.LeaseState.ACTIVE)
+    monkeypatch.setattr(
+        controller_lease.ControllerLease, "refresh_state", lambda self: controller_lease.LeaseState.ACTIVE
+    )
     assert "ran_cancelled" in broken(cancelled_while_shard_owner_is_isolated)
 
 
