--- a/src/cloverplank/records/cluster.py
+++ b/src/cloverplank/records/cluster.py
@@ -4,7 +4,7 @@
 
 from typing import Annotated
 
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 NO_LEASE = 0  # lease id of a record without a process: it bars a controller, which joins only by replacing it
 
@@ -15,9 +15,9 @@
     zone: str
     lease: int
     # newest cluster version that the process supports; old programs omit it
-    format: Annotated[int, Meta(ge=0)] = 0
+    newest_version: Annotated[int, Meta(ge=0)] = field(name="format", default=0)
     # oldest cluster version that the process supports; programs without staged rollouts omit it
-    lowest: Annotated[int, Meta(ge=0)] | None = None
+    oldest_version: Annotated[int, Meta(ge=0)] | None = field(name="lowest", default=None)
     # cluster version that the operators want; None: rollouts are switched off
     goal: Annotated[int, Meta(ge=0)] | None = None
 
--- a/src/cloverplank/rollout/driver.py
+++ b/src/cloverplank/rollout/driver.py
@@ -101,7 +101,7 @@
         able = {
             NodeId(name): mod_revision
             for name, (record, mod_revision) in nodes.items()
-            if record.is_live() and record.format >= NEWEST_VERSION
+            if record.is_live() and record.newest_version >= NEWEST_VERSION
         }
         if len(able) < len(self._deployment.controllers):
             return
--- a/src/cloverplank/rollout/observation.py
+++ b/src/cloverplank/rollout/observation.py
@@ -25,7 +25,9 @@
     barred: dict[NodeId, ModRevision] = {}
     for name, (record, mod_revision) in watch_cache.list_records(keys.NODES, NodeRecord).items():
         if record.is_live():
-            controllers[NodeId(name)] = Controller(mod_revision, record.format, record.lowest, record.goal)
+            controllers[NodeId(name)] = Controller(
+                mod_revision, record.newest_version, record.oldest_version, record.goal
+            )
         else:
             barred[NodeId(name)] = mod_revision
     return Facts(
--- a/src/cloverplank/rollout/status.py
+++ b/src/cloverplank/rollout/status.py
@@ -126,7 +126,12 @@
     if record is None or not record.is_live():
         return ControllerStatus(name, present=False, excused=excused or record is not None)
     return ControllerStatus(
-        name, present=True, excused=excused, lowest=record.lowest, newest=record.format, goal=record.goal
+        name,
+        present=True,
+        excused=excused,
+        lowest=record.oldest_version,
+        newest=record.newest_version,
+        goal=record.goal,
     )
 
 
