--- a/src/cloverplank/leader/handover.py
+++ b/src/cloverplank/leader/handover.py
@@ -135,7 +135,7 @@
         previous = self._watch_cache.get(keys.verdict(node), VerdictRecord)
         count = 1
         if previous is not None and now - previous.record.decided_at < REPEAT_WINDOW_MS:
-            count += previous.record.count
+            count += previous.record.consecutive
         return VerdictRecord(
             node, evidence.incarnation, now, count, handover.zone, successor, verdicts.reason(evidence)
         )
--- a/src/cloverplank/membership/failure_detector.py
+++ b/src/cloverplank/membership/failure_detector.py
@@ -119,7 +119,7 @@
         verdict = self._watch_cache.get(keys.verdict(node), VerdictRecord)
         if verdict is None:
             return False
-        doublings = min(MAX_DAMPING_DOUBLINGS, max(0, verdict.record.count - 1))
+        doublings = min(MAX_DAMPING_DOUBLINGS, max(0, verdict.record.consecutive - 1))
         if self._clock.wall_ms() - verdict.record.decided_at < self._damping_ms * 2**doublings:
             return True
         return self._states.get(node) not in (None, PeerState.ALIVE)
--- a/src/cloverplank/membership/status.py
+++ b/src/cloverplank/membership/status.py
@@ -47,7 +47,9 @@
         parts.append(f"holds {', '.join(controller.owned_shards)}")
     verdict = controller.verdict
     if verdict is not None:
-        parts.append(f"block {verdict.zone} went to {verdict.to} ({verdict.count} in a row): {verdict.reason}")
+        parts.append(
+            f"block {verdict.zone} went to {verdict.new_owner} ({verdict.consecutive} in a row): {verdict.reason}"
+        )
     return "; ".join(parts)
 
 
--- a/src/cloverplank/records/verdicts.py
+++ b/src/cloverplank/records/verdicts.py
@@ -16,7 +16,8 @@
     node: str
     incarnation: Annotated[int, Meta(ge=0)]
     decided_at: int = field(name="at")  # time of day, ms
-    count: Annotated[int, Meta(ge=0)]  # consecutive verdicts on this controller, each soon after the previous one
+    # consecutive verdicts on this controller, each soon after the previous one
+    consecutive: Annotated[int, Meta(ge=0)] = field(name="count")
     zone: str  # zone of the shard that was handed over
-    to: str  # controller that received the shard
+    new_owner: str = field(name="to")  # controller that received the shard
     reason: str = field(name="why")
