--- a/src/cloverplank/kvstore/watch_cache.py
+++ b/src/cloverplank/kvstore/watch_cache.py
@@ -119,7 +119,7 @@
         versioned = self.records.get(key)
         return ModRevision(0) if versioned is None else versioned.mod_revision
 
-    def mod_revision_or_unreadable(self, key: str) -> ModRevision:
+    def stored_mod_revision(self, key: str) -> ModRevision:
         """Return the mod revision of a key, even if its value can't be decoded; 0 if it does not exist."""
         return self.unreadable.get(key) or self.mod_revision(key)
 
@@ -198,7 +198,7 @@
             self.blocked.apply(JobId(key[len(keys.BLOCKED) :]), record, mod_revision)
 
     def _put_non_job(self, key: str, value: bytes | Struct, mod_revision: ModRevision) -> None:
-        if self.mod_revision_or_unreadable(key) >= mod_revision or self.deleted.get(key, 0) >= mod_revision:
+        if self.stored_mod_revision(key) >= mod_revision or self.deleted.get(key, 0) >= mod_revision:
             return
         for prefix, record_type in _RECORD_TYPES:
             if key == prefix or (prefix.endswith("/") and key.startswith(prefix)):
@@ -230,7 +230,7 @@
             self._delete_job(JobId(key[len(keys.JOBS) :]), mod_revision)
         elif key.startswith(keys.BLOCKED):
             self.blocked.remove(JobId(key[len(keys.BLOCKED) :]), mod_revision)
-        elif 0 < self.mod_revision_or_unreadable(key) < mod_revision:
+        elif 0 < self.stored_mod_revision(key) < mod_revision:
             self._discard_value(key)
             self.unreadable.pop(key, None)
             self._changed(key)
--- a/src/cloverplank/leader/handover.py
+++ b/src/cloverplank/leader/handover.py
@@ -107,7 +107,7 @@
             Compare(keys.LEADER, leader),
             Compare(keys.shard(zone), handover.former_token),
             Compare(keys.node(successor.node), successor.mod_revision),
-            Compare(verdict_key, self._watch_cache.mod_revision_or_unreadable(verdict_key)),
+            Compare(verdict_key, self._watch_cache.stored_mod_revision(verdict_key)),
         ]
         lease = successor.record.lease
         changes: list[Put | Delete] = [
--- a/src/cloverplank/rollout/commits.py
+++ b/src/cloverplank/rollout/commits.py
@@ -66,7 +66,7 @@
         return [Compare(keys.LEADER, leader), self._as_cached(keys.ROLLOUT), self._as_cached(keys.FORMAT)]
 
     def _as_cached(self, key: str) -> Compare:
-        return Compare(key, self._watch_cache.mod_revision_or_unreadable(key))
+        return Compare(key, self._watch_cache.stored_mod_revision(key))
 
     def _barred_keys(self) -> list[str]:
         """Return the keys that bar excused controllers; older programs may join again at a lower version."""
--- a/src/cloverplank/rollout/committed.py
+++ b/src/cloverplank/rollout/committed.py
@@ -71,7 +71,7 @@
         """Return what a write of the shape is conditional on: the gate's keys as the watch cache has them."""
         if shape is Shape.PLAIN:
             return []
-        return [Compare(key, self._watch_cache.mod_revision_or_unreadable(key)) for key in GATE_KEYS]
+        return [Compare(key, self._watch_cache.stored_mod_revision(key)) for key in GATE_KEYS]
 
     def incompatibility(self) -> str | None:
         """Return why this program must not serve any more, by what the watch cache shows."""
@@ -79,4 +79,4 @@
 
     def mod_revision(self) -> ModRevision:
         """Return the mod revision of the rollout's key, 0 without one."""
-        return self._watch_cache.mod_revision_or_unreadable(keys.ROLLOUT)
+        return self._watch_cache.stored_mod_revision(keys.ROLLOUT)
--- a/src/cloverplank/rollout/driver.py
+++ b/src/cloverplank/rollout/driver.py
@@ -93,7 +93,7 @@
 
     async def _announce(self, leader: ModRevision) -> None:
         """Announce the newest version, for good, once every controller reads it. Used without staged rollouts."""
-        if self._committed.announced() >= NEWEST_VERSION or self._watch_cache.mod_revision_or_unreadable(keys.ROLLOUT):
+        if self._committed.announced() >= NEWEST_VERSION or self._watch_cache.stored_mod_revision(keys.ROLLOUT):
             return
         if keys.FORMAT in self._watch_cache.unreadable:
             return
--- a/src/cloverplank/zones/watch.py
+++ b/src/cloverplank/zones/watch.py
@@ -96,7 +96,7 @@
         if after is None:
             return
         key = keys.zone(before.zone)
-        conditions = [Compare(keys.LEADER, leadership), Compare(key, self._watch_cache.mod_revision_or_unreadable(key))]
+        conditions = [Compare(keys.LEADER, leadership), Compare(key, self._watch_cache.stored_mod_revision(key))]
         transaction = Transaction(conditions, [Put(key, after)])
         try:
             response = await self._queue.commit(transaction, TransactionPriority.LEASE, once=True)
--- a/tests/simulation/rollout_model.py
+++ b/tests/simulation/rollout_model.py
@@ -163,9 +163,7 @@
         conditions = [Compare(keys.node(name), self._mod_revision(keys.node(name)))]
         if program == ABLE:
             assert CommittedVersionFence(None, process.committed).check_committed() is None
-            conditions += [
-                Compare(key, watch_cache.mod_revision_or_unreadable(key)) for key in (keys.ROLLOUT, keys.FORMAT)
-            ]
+            conditions += [Compare(key, watch_cache.stored_mod_revision(key)) for key in (keys.ROLLOUT, keys.FORMAT)]
         if self._commit(Transaction(conditions, [Put(keys.node(name), record, process.lease)])):
             self.running[name] = process
 
