--- a/src/cloverplank/records/rollout.py
+++ b/src/cloverplank/records/rollout.py
@@ -22,7 +22,7 @@
 
 
 class RolloutRecord(Struct, frozen=True):
-    """The cluster version and the phase of its rollout. Without a stored record, `initial_record` applies."""
+    """The cluster version and the phase of its rollout. Without a stored record, `initial_rollout_record` applies."""
 
     version: Version
     phase: RolloutPhase
@@ -41,7 +41,7 @@
     version: Version
 
 
-def initial_record(announced: int) -> RolloutRecord:
+def initial_rollout_record(announced: int) -> RolloutRecord:
     """Return the record that applies before the first rollout.
 
     `announced` is the version of the format key, 0 if the key does not exist.
--- a/src/cloverplank/records/zones.py
+++ b/src/cloverplank/records/zones.py
@@ -35,6 +35,6 @@
     evidence: str = ""  # reason for the last change of this record, for operators
 
 
-def healthy(zone: str) -> ZoneRecord:
+def initial_zone_record(zone: str) -> ZoneRecord:
     """Return the record that applies before the first one of a zone is committed."""
     return ZoneRecord(zone, ZoneHealth.HEALTHY, 0)
--- a/src/cloverplank/rollout/committed.py
+++ b/src/cloverplank/rollout/committed.py
@@ -7,7 +7,7 @@
 from cloverplank.jobs.shapes import CompactUse, Shape
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.watch_cache import WatchCache
-from cloverplank.records.rollout import FormatRecord, RolloutPhase, RolloutRecord, initial_record
+from cloverplank.records.rollout import FormatRecord, RolloutPhase, RolloutRecord, initial_rollout_record
 from cloverplank.wire.kvstore import Compare
 
 GATE_KEYS = (keys.ROLLOUT, keys.FORMAT)  # the keys that decide which shapes may be written
@@ -49,7 +49,7 @@
 
     def current(self) -> RolloutRecord:
         """Return the committed record, or what holds without one."""
-        return self.stored() or initial_record(self.announced())
+        return self.stored() or initial_rollout_record(self.announced())
 
     def unreadable_keys(self) -> list[str]:
         """Return the keys that decide about shapes and can't be read."""
--- a/src/cloverplank/rollout/fence.py
+++ b/src/cloverplank/rollout/fence.py
@@ -10,7 +10,7 @@
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.client import StoreClient
 from cloverplank.kvstore.controller_lease import Admission
-from cloverplank.records.rollout import FormatRecord, RolloutRecord, initial_record
+from cloverplank.records.rollout import FormatRecord, RolloutRecord, initial_rollout_record
 from cloverplank.rollout.committed import CommittedRollout, incompatibility
 from cloverplank.wire.codec import MessageDecodeError, decode
 from cloverplank.wire.kvstore import Compare, KeyValue
@@ -59,7 +59,7 @@
 
 def _current(rollout: KeyValue | None, announced: KeyValue | None) -> RolloutRecord:
     version = 0 if announced is None else _read(announced, FormatRecord).version
-    return initial_record(version) if rollout is None else _read(rollout, RolloutRecord)
+    return initial_rollout_record(version) if rollout is None else _read(rollout, RolloutRecord)
 
 
 def _read(key_value: KeyValue, record_type: type[T]) -> T:
--- a/src/cloverplank/rollout/status.py
+++ b/src/cloverplank/rollout/status.py
@@ -12,7 +12,7 @@
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.snapshot import read_key_values
 from cloverplank.records.cluster import NodeRecord
-from cloverplank.records.rollout import FormatRecord, RolloutPhase, RolloutRecord, initial_record
+from cloverplank.records.rollout import FormatRecord, RolloutPhase, RolloutRecord, initial_rollout_record
 from cloverplank.rollout.committed import compact_use
 from cloverplank.settings.platform import PlatformSettings
 from cloverplank.wire.codec import MessageDecodeError, decode
@@ -102,7 +102,7 @@
 def status_of(key_values: list[KeyValue], configured: frozenset[str]) -> RolloutStatus:
     """Return the status that the committed keys show; `configured` names the deployment's controllers."""
     committed = _CommittedKeys(key_values)
-    current = committed.rollout or initial_record(committed.announced)
+    current = committed.rollout or initial_rollout_record(committed.announced)
     controllers = [
         _controller_status(name, committed.nodes.get(name), excused=name in current.excused)
         for name in sorted(configured | committed.nodes.keys())
--- a/src/cloverplank/zones/status.py
+++ b/src/cloverplank/zones/status.py
@@ -9,7 +9,7 @@
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.snapshot import read_key_values
 from cloverplank.records.cluster import NodeRecord, ShardRecord
-from cloverplank.records.zones import ZoneHealth, ZoneRecord, healthy
+from cloverplank.records.zones import ZoneHealth, ZoneRecord, initial_zone_record
 from cloverplank.settings.platform import PlatformSettings
 from cloverplank.wire.codec import MessageDecodeError, decode
 from cloverplank.wire.kvstore import KeyValue
@@ -83,7 +83,7 @@
     def status(self, zone: str) -> ZoneStatus:
         """Return the status of one zone."""
         key = keys.zone(zone)
-        record = self.records.get(key) or healthy(zone)
+        record = self.records.get(key) or initial_zone_record(zone)
         return ZoneStatus(
             zone=zone,
             health=record.health,
--- a/src/cloverplank/zones/watch.py
+++ b/src/cloverplank/zones/watch.py
@@ -12,7 +12,7 @@
 from cloverplank.kvstore.transaction_priority import TransactionPriority
 from cloverplank.kvstore.transaction_queue import TransactionQueue
 from cloverplank.kvstore.watch_cache import WatchCache
-from cloverplank.records.zones import ZoneHealth, ZoneRecord, healthy
+from cloverplank.records.zones import ZoneHealth, ZoneRecord, initial_zone_record
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.settings.zones import ZoneSettings
 from cloverplank.wire.kvstore import Compare, Put, Transaction
@@ -67,7 +67,7 @@
         records = {}
         for zone in self._zones:
             stored = self._watch_cache.get(keys.zone(zone), ZoneRecord)
-            records[zone] = healthy(zone) if stored is None else stored.record
+            records[zone] = initial_zone_record(zone) if stored is None else stored.record
         return records
 
     def plan(self, remaining_time: RemainingTime) -> ZonePlan:
--- a/tests/zones/test_health.py
+++ b/tests/zones/test_health.py
@@ -8,7 +8,7 @@
 
 from cloverplank.autoscaling.registry import MachineEntry, MachineRegistry
 from cloverplank.basic_types import Clock, MachineId, WallTimeMs, Zone
-from cloverplank.records.zones import ALL_MACHINES_PER_CENT, ZoneHealth, ZoneRecord, healthy
+from cloverplank.records.zones import ALL_MACHINES_PER_CENT, ZoneHealth, ZoneRecord, initial_zone_record
 from cloverplank.zones import health
 from cloverplank.zones.health import ADMISSION_STEPS, MAX_QUIET_MS, Evidence, Observation, RecoveryPace
 from cloverplank.zones.observation import ZoneObserver
@@ -28,7 +28,7 @@
 
 @given(st.lists(st.tuples(OBSERVATIONS, st.integers(100, 30_000)), max_size=60))
 def test_lost_zone_is_healthy_only_after_recovering_in_steps(observations: list[tuple[Observation, int]]) -> None:
-    record, now = healthy("zone-1"), 1_000_000
+    record, now = initial_zone_record("zone-1"), 1_000_000
     for observation, elapsed_ms in observations:
         now += elapsed_ms
         after = health.next_record(record, observation, PACE, WallTimeMs(now))
@@ -79,7 +79,7 @@
         name = MachineId(f"m-{number:06d}")
         registry.entries[name] = MachineEntry(name, zones[number % 3], "", "t", False, "running", health="up")
     observer = ZoneObserver(zones, controller_zones={}, registry=registry, clock=clock, heartbeat_interval_s=2.0)
-    records = {zone: healthy(zone) for zone in zones}
+    records = {zone: initial_zone_record(zone) for zone in zones}
     committed: list[ZoneRecord] = []
 
     def pass_seconds(seconds: int, silent: Zone | None) -> None:
--- a/tests/zones/test_plan.py
+++ b/tests/zones/test_plan.py
@@ -7,7 +7,7 @@
 
 from cloverplank.basic_types import MachineId, WallTimeMs, Zone
 from cloverplank.jobs.records import Eviction, JobRecord
-from cloverplank.records.zones import ALL_MACHINES_PER_CENT, ZoneHealth, ZoneRecord, healthy
+from cloverplank.records.zones import ALL_MACHINES_PER_CENT, ZoneHealth, ZoneRecord, initial_zone_record
 from cloverplank.scheduling.queue import QueuedJob, scheduling_order
 from cloverplank.settings.zones import MAX_HOLD_S
 from cloverplank.zones.health import ADMISSION_STEPS
@@ -41,7 +41,7 @@
 def plan_of(state: ZoneHealth, admitted: int = 0, classes: ClassOrder = USUAL_ORDER) -> ZonePlan:
     records = {
         ZONE: ZoneRecord("zone-1", state, NOW - 5000, admitted, lost_at=NOW - 5000),
-        Zone("zone-0"): healthy("zone-0"),
+        Zone("zone-0"): initial_zone_record("zone-0"),
     }
     return ZonePlan(records, PlanLimits(30_000, 30.0, 10), classes, NOW, remaining_time)
 
