--- a/src/cloverplank/api/submission.py
+++ b/src/cloverplank/api/submission.py
@@ -99,7 +99,7 @@
         job_id = JobId(submission.spec.id)
         if self._watch_cache.knows(job_id):
             return await self._accepted_before(job_id)
-        if self._client.down() or not self._limits.machine_types():
+        if self._client.is_down() or not self._limits.machine_types():
             return busy()
         try:
             acceptance = await self._prepare(submission, len(body))
--- a/src/cloverplank/api/users.py
+++ b/src/cloverplank/api/users.py
@@ -93,7 +93,7 @@
         if not valid_job_id(name):
             return _no_such_job()
         job_id = JobId(name)
-        if self._client.down() and self._watch_cache.final(job_id) is None:
+        if self._client.is_down() and self._watch_cache.final(job_id) is None:
             return busy()
         async with asyncio.timeout(CANCEL_TIMEOUT_S):
             while True:
--- a/src/cloverplank/controller/routing.py
+++ b/src/cloverplank/controller/routing.py
@@ -65,7 +65,7 @@
             return False
         if self._controller_lease.fence.refusal() is not None:
             return False
-        if not self._client.down(STORE_OUTAGE_S):
+        if not self._client.is_down(STORE_OUTAGE_S):
             return True
         messages = self._gossip.all_latest()
         return bool(messages) and not any(message.store_available for message in messages.values())
--- a/src/cloverplank/kvstore/client.py
+++ b/src/cloverplank/kvstore/client.py
@@ -90,7 +90,7 @@
         if self.failing_since is None:
             self.failing_since = self._clock.monotonic()
 
-    def down(self, after_s: float = DOWN_AFTER_S) -> bool:
+    def is_down(self, after_s: float = DOWN_AFTER_S) -> bool:
         """Return whether all requests have failed for at least `after_s` seconds."""
         return self.failing_since is not None and self._clock.monotonic() - self.failing_since >= after_s
 
--- a/src/cloverplank/kvstore/linearizable_reader.py
+++ b/src/cloverplank/kvstore/linearizable_reader.py
@@ -136,7 +136,7 @@
 
     async def _changed_keys(self, batch: _Batch) -> set[str]:
         """Return the keys of the batch that have changed since they were cached, or all keys if that is unknown."""
-        if self._client.down():
+        if self._client.is_down():
             raise StoreUnavailableError("the store is down: all recent requests failed")
         compares = [compare for job_compares in batch.compares.values() for compare in job_compares]
         sent_at = self._clock.monotonic()
--- a/src/cloverplank/kvstore/watch_cache.py
+++ b/src/cloverplank/kvstore/watch_cache.py
@@ -301,7 +301,7 @@
             except (StoreUnavailableError, OutcomeUnknownError) as err:
                 failures += 1
                 log.debug("watch cache: request failed (%d consecutive failures): %s", failures, err)
-                if failures >= MAX_WATCH_FAILURES and not self._client.down():
+                if failures >= MAX_WATCH_FAILURES and not self._client.is_down():
                     # Only the watch fails: its response may be too large or can't be decoded, and would be
                     # requested again indefinitely.
                     log.info("watch cache: the watch fails, reloading: %d consecutive failures: %s", failures, err)
--- a/src/cloverplank/membership/gossip.py
+++ b/src/cloverplank/membership/gossip.py
@@ -283,7 +283,7 @@
         return GossipMessage(
             self._controller_lease.node_id,
             self._platform.location,
-            store_available=not self._client.down(STORE_DOWN_S),
+            store_available=not self._client.is_down(STORE_DOWN_S),
             worker_counts={zone: len(workers) for zone, workers in self._workers.items()},
             shard_tokens=self._owned.tokens(),
             declines_assignments=now < self._controller_lease.declines_assignments_until,
--- a/tests/kvstore/test_client.py
+++ b/tests/kvstore/test_client.py
@@ -129,7 +129,7 @@
         with pytest.raises(StoreUnavailableError):
             asyncio.run(get(client))
         time.now += DOWN_AFTER_S
-    assert client.down()
+    assert client.is_down()
 
 
 def test_response_ends_an_outage(client: StoreClient, http: FakeHttp, time: ManualClock) -> None:
@@ -139,7 +139,7 @@
     time.now += DOWN_AFTER_S
     http.result = make_response(404)
     assert asyncio.run(get(client)) is None
-    assert not client.down()
+    assert not client.is_down()
 
 
 def test_rate_limit_of_the_store_drains_the_token_buckets(client: StoreClient, http: FakeHttp) -> None:
