--- a/src/cloverplank/autoscaling/cloud.py
+++ b/src/cloverplank/autoscaling/cloud.py
@@ -118,7 +118,7 @@
 
     async def _request(self, method: str, path: str, body: Any = None) -> Response:
         while not self._token_bucket.take():  # noqa: ASYNC110 - tokens come with time, nothing sets an event
-            await asyncio.sleep(self._token_bucket.wait() + TOKEN_WAIT_MARGIN_S)
+            await asyncio.sleep(self._token_bucket.seconds_until_available() + TOKEN_WAIT_MARGIN_S)
         encoded = None if body is None else encode(body)
         try:
             response = await self._http.request(self._addr, method, path, encoded, TIMEOUT_S)
--- a/src/cloverplank/kvstore/linearizable_reader.py
+++ b/src/cloverplank/kvstore/linearizable_reader.py
@@ -87,7 +87,7 @@
         try:
             await asyncio.sleep(BATCH_DELAY_S)
             while self._queued:
-                delay_s = self._client.request_tokens.wait()
+                delay_s = self._client.request_tokens.seconds_until_available()
                 if delay_s > 0:
                     await asyncio.sleep(min(MAX_BATCH_DELAY_S, delay_s))
                 await self._answer_batch(self._next_batch())
--- a/src/cloverplank/kvstore/token_bucket.py
+++ b/src/cloverplank/kvstore/token_bucket.py
@@ -47,7 +47,7 @@
         self._level -= amount
         self.taken += amount
 
-    def wait(self, amount: float = 1.0) -> float:
+    def seconds_until_available(self, amount: float = 1.0) -> float:
         """Return the seconds until `amount` tokens are available."""
         self._refill()
         return max(0.0, (amount - self._level) / self.rate)
--- a/src/cloverplank/kvstore/transaction_queue.py
+++ b/src/cloverplank/kvstore/transaction_queue.py
@@ -95,7 +95,7 @@
 
     def wait_estimate(self) -> float:
         """Return the seconds after which a transaction that is queued now can be sent."""
-        return self._client.change_tokens.wait(len(self._backlog.transactions) + 1.0)
+        return self._client.change_tokens.seconds_until_available(len(self._backlog.transactions) + 1.0)
 
     def demand(self) -> float:
         """Return the changes per second that this controller makes, or would make without a rate limit."""
@@ -161,7 +161,7 @@
             if change_tokens.take(PREPAID_CHANGES, reserved):
                 self._send(selection)
             else:
-                wait_s = change_tokens.wait(PREPAID_CHANGES + reserved)
+                wait_s = change_tokens.seconds_until_available(PREPAID_CHANGES + reserved)
                 await wait_for_event(self._wake, min(MAX_TOKEN_WAIT_S, max(MIN_TOKEN_WAIT_S, wait_s)))
 
     def _log_backlog(self, now: MonotonicTime) -> None:
--- a/tests/kvstore/test_token_bucket.py
+++ b/tests/kvstore/test_token_bucket.py
@@ -25,7 +25,7 @@
 
 def test_bucket_refills_at_its_rate(bucket: TokenBucket, time: ManualClock) -> None:
     bucket.take(BURST)
-    assert bucket.wait(2.0) == pytest.approx(2.0 / RATE)
+    assert bucket.seconds_until_available(2.0) == pytest.approx(2.0 / RATE)
     time.now += 2.0 / RATE
     assert bucket.take(2.0)
 
@@ -43,7 +43,7 @@
 
 def test_forced_tokens_make_later_ones_wait(bucket: TokenBucket) -> None:
     bucket.take_unconditionally(BURST + 1.0)
-    assert bucket.wait(1.0) == pytest.approx(2.0 / RATE)
+    assert bucket.seconds_until_available(1.0) == pytest.approx(2.0 / RATE)
 
 
 def test_drained_bucket_is_empty(bucket: TokenBucket) -> None:
