--- a/src/cloverplank/api/blocked_jobs.py
+++ b/src/cloverplank/api/blocked_jobs.py
@@ -61,7 +61,7 @@
         """
         blocked, state_of = self._watch_cache.blocked, self._watch_cache.upstream_state
         for upstream in dependencies.not_in_memory(job, blocked, state_of):
-            await self._reader.job(upstream)
+            await self._reader.read(upstream)
         return dependencies.has_cancelled_upstream(job, blocked, state_of)
 
     async def any_has_cancelled_upstream(self, job_ids: list[JobId]) -> bool:
--- a/src/cloverplank/api/submission.py
+++ b/src/cloverplank/api/submission.py
@@ -192,7 +192,7 @@
         not_in_memory = [
             job_id for job_id in upstream if self._watch_cache.upstream_state(job_id) is UpstreamState.NOT_IN_MEMORY
         ][:MAX_UPSTREAM_READS]
-        jobs = await asyncio.gather(*(self._reader.job(job_id) for job_id in not_in_memory))
+        jobs = await asyncio.gather(*(self._reader.read(job_id) for job_id in not_in_memory))
         for job_id, job in zip(not_in_memory, jobs, strict=True):
             if job is None:
                 raise SubmissionRejectedError(422, f"waits_on: {job_id} was never accepted")
@@ -210,7 +210,7 @@
         return response
 
     async def _accepted_before_or_none(self, job_id: JobId) -> Response | None:
-        job = await self._reader.job(job_id)
+        job = await self._reader.read(job_id)
         if isinstance(job, BlockedJob):
             return await self._blocked_jobs.respond(job)
         return None if job is None else make_response(200, job_response(job_id, job))
--- a/src/cloverplank/api/users.py
+++ b/src/cloverplank/api/users.py
@@ -82,7 +82,7 @@
         if not valid_job_id(name):
             return _no_such_job()
         job_id = JobId(name)
-        job = await self._reader.job(job_id)
+        job = await self._reader.read(job_id)
         if job is None:
             return _no_such_job()
         if isinstance(job, BlockedJob):
@@ -97,7 +97,7 @@
             return busy()
         async with asyncio.timeout(CANCEL_TIMEOUT_S):
             while True:
-                job = await self._reader.job(job_id)
+                job = await self._reader.read(job_id)
                 if job is None:
                     return _no_such_job()
                 if isinstance(job, Phase):
--- a/src/cloverplank/kvstore/linearizable_reader.py
+++ b/src/cloverplank/kvstore/linearizable_reader.py
@@ -64,7 +64,7 @@
         self._batch_tasks = 0
         self._tasks = BackgroundTasks()
 
-    async def job(self, job: JobId) -> JobState:
+    async def read(self, job: JobId) -> JobState:
         """Return the committed state of a job: its record, its final phase, or None if it was never accepted.
 
         Raises StoreUnavailableError if the read queue is full, and StoreUnavailableError or OutcomeUnknownError if the
--- a/src/cloverplank/leader/dependency_reconciler.py
+++ b/src/cloverplank/leader/dependency_reconciler.py
@@ -133,7 +133,7 @@
         """Read final records that are no longer cached; the watch cache keeps what is read."""
         try:
             for job in upstream:
-                if await self._reader.job(job) is None:
+                if await self._reader.read(job) is None:
                     log.error("job %s is upstream of others and was never accepted", job)
                     return False
         except (StoreUnavailableError, OutcomeUnknownError) as err:
--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -150,7 +150,7 @@
     async def play() -> set[str]:
         world = World(seed=5)
         await world.submit(world.job(1))
-        monkeypatch.setattr(linearizable_reader.LinearizableReader, "job", never)
+        monkeypatch.setattr(linearizable_reader.LinearizableReader, "read", never)
         await world.check_recovery()
         return set(world.rules.violations)
 
