--- a/src/cloverplank/kvstore/controller_lease.py
+++ b/src/cloverplank/kvstore/controller_lease.py
@@ -120,7 +120,7 @@
 
     # -- queries
 
-    def contact_at(self) -> MonotonicTime:
+    def last_contact_at(self) -> MonotonicTime:
         """Return the time up to which this controller has received every committed change."""
         return min(self.renewed_at, self._watch_cache.complete_until)
 
@@ -128,7 +128,7 @@
         """Update the state of the lease by the clock and return it."""
         if self.lease is None and self.state in (LeaseState.JOINING, LeaseState.EXPIRED):
             return self.state
-        silent_s = self._clock.monotonic() - self.contact_at()
+        silent_s = self._clock.monotonic() - self.last_contact_at()
         if self.lease is not None and silent_s < self.lease_s * (1 - 2 * DRIFT) - LEASE_MARGIN_S:
             self._set_state(LeaseState.ACTIVE)
         elif silent_s < self.grace_s:
--- a/src/cloverplank/shard/owned_shards.py
+++ b/src/cloverplank/shard/owned_shards.py
@@ -141,7 +141,10 @@
         if self._controller_lease.refresh_state() is not LeaseState.ACTIVE:
             return
         ownership = shard.ownership
-        if ownership.superseded and self._controller_lease.contact_at() > ownership.superseded_at + REINSTATE_DELAY_S:
+        if (
+            ownership.superseded
+            and self._controller_lease.last_contact_at() > ownership.superseded_at + REINSTATE_DELAY_S
+        ):
             if self._controller_lease.assigned_token(shard.zone) == ownership.token:
                 ownership.reinstate()
         elif ownership.token_renewal_wanted:
--- a/tests/kvstore/test_controller_lease.py
+++ b/tests/kvstore/test_controller_lease.py
@@ -259,7 +259,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_all_committed_before_the_contact_is_known(seed: int) -> None:
+def test_every_change_committed_before_the_last_contact_is_known(seed: int) -> None:
     """The time of the last contact is when a request was sent, regardless of when which responses arrive."""
 
     async def work() -> None:
@@ -272,9 +272,9 @@
             await asyncio.sleep(0.5)
             mod_revision = commit_key(world, f"cp/types{number}")
             committed.append((controller._environment.clock.monotonic(), mod_revision))
-            contact_at = controller.controller_lease.contact_at()
+            last_contact_at = controller.controller_lease.last_contact_at()
             known = controller.watch_cache.revision
-            assert all(revision <= known for committed_at, revision in committed if committed_at < contact_at)
-        assert controller.controller_lease.contact_at() > committed[20][0]
+            assert all(revision <= known for committed_at, revision in committed if committed_at < last_contact_at)
+        assert controller.controller_lease.last_contact_at() > committed[20][0]
 
     run(work())
