--- a/src/cloverplank/leader/dependency_reconciler.py
+++ b/src/cloverplank/leader/dependency_reconciler.py
@@ -139,7 +139,7 @@
         """
         try:
             for job in upstream:
-                if await self._reader.job(job) is None:
+                if await self._reader.read(job) is None:
                     log.error("upstream job %s was never accepted; jobs that depend on it stay blocked", job)
                     return False
         except (StoreUnavailableError, OutcomeUnknownError) as err:
--- a/src/cloverplank/rollout/driver.py
+++ b/src/cloverplank/rollout/driver.py
@@ -93,7 +93,7 @@
 
     async def _announce(self, leader: ModRevision) -> None:
         """Announce the newest version, for good, once every controller reads it. Used without staged rollouts."""
-        if self._committed.announced() >= NEWEST_VERSION or self._watch_cache.mod_revision_or_unreadable(keys.ROLLOUT):
+        if self._committed.announced() >= NEWEST_VERSION or self._watch_cache.stored_mod_revision(keys.ROLLOUT):
             return
         if keys.FORMAT in self._watch_cache.unreadable:
             return
@@ -101,7 +101,7 @@
         able = {
             NodeId(name): mod_revision
             for name, (record, mod_revision) in nodes.items()
-            if record.is_live() and record.format >= NEWEST_VERSION
+            if record.is_live() and record.newest_version >= NEWEST_VERSION
         }
         if len(able) < len(self._deployment.controllers):
             return
