--- a/src/cloverplank/shard/capacity.py
+++ b/src/cloverplank/shard/capacity.py
@@ -1,4 +1,4 @@
-"""Free capacity of a shard's machines that may take new tasks."""
+"""Free capacity of the machines in a shard that accept new tasks."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class ShardCapacity:
-    """Indexes free capacity for one decision.
+    """Builds an index of free capacity for one scheduling decision.
 
-    `is_faulty`: returns whether tasks fail on a machine because of the machine.
+    `is_faulty`: returns whether task failures on a machine are attributed to the machine itself.
     """
 
     def __init__(self, state: ShardState, is_faulty: Callable[[Machine], bool]) -> None:
@@ -23,7 +23,7 @@
         self._cache = CapacityCache(state.store)
 
     def index(self, min_cpus: float = 0.0) -> CapacityIndex:
-        """Return what is free on machines that may take new tasks; machines with less than `min_cpus` are left out."""
+        """Return the free capacity of machines that accept new tasks and have at least `min_cpus` free."""
         state = self._state
         machine_types = state.machine_types()
         withholds = state.plan.withholds(state.zone)
@@ -33,7 +33,7 @@
             if machine_type is None or machine.health is not Health.UP or machine.terminates_at is not None:
                 continue
             if state.store.load(machine.id).cpus + min_cpus > machine_type.cpus + EPSILON:
-                continue  # full for this cycle: under a backlog most are
+                continue  # too few free cpus, which is true of most machines under a backlog
             if machine.id in state.draining or self._is_faulty(machine) or machine.id in state.emptying:
                 continue
             if withholds and not self._is_reconciled(machine):
@@ -46,15 +46,15 @@
         return CapacityIndex(free_capacities, min_cpus, state.plan.may_use_reserved)
 
     def _is_admitted(self, machine: Machine) -> bool:
-        """Return whether a machine of a zone that recovers from a loss may take any new tasks."""
+        """Return whether a machine in a zone that is recovering from a loss accepts any new tasks."""
         state = self._state
         up_for_s = 0.0 if machine.up_since is None else state.clock.monotonic() - machine.up_since
         return state.plan.admits(state.zone, machine.id, up_for_s)
 
     def _is_reconciled(self, machine: Machine) -> bool:
-        """Return whether all tasks that run on the machine are placed there.
+        """Return whether all tasks that run on the machine are placed there by the records.
 
-        Stale copies of tasks that were placed elsewhere end before the capacity that they use counts as free.
+        Stale copies of tasks that were placed elsewhere must end before the capacity that they use counts as free.
         """
         for ref, task in machine.tasks.items():
             view = self._state.store.get(ref.job)
--- a/src/cloverplank/shard/consolidation.py
+++ b/src/cloverplank/shard/consolidation.py
@@ -1,4 +1,4 @@
-"""Consolidation: replicas leave machines whose few tasks fit on others, so that those can be scaled in."""
+"""Consolidation: moves replicas off machines whose few tasks fit elsewhere, so that these can be scaled in."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 
 log = logging.getLogger(__name__)
 
-SCAN_INTERVAL_S = 3.0  # between two scans for machines to empty
-MOVE_INTERVAL_S = 1.0  # between two replicas of one machine
-MOVE_SCAN_INTERVAL_S = 0.5  # between two scans for moves, each of which indexes the capacity of all machines
-MIN_REPLICA_AGE_S = 35.0  # a replica younger than this is not moved
-MAX_ATTEMPTS_PER_SCAN = 8  # machines whose replicas are tried to fit elsewhere
-MACHINES_PER_CONSOLIDATION = 40  # one machine is emptied at a time for so many in the shard
-MOSTLY_USED_FRACTION = 0.5  # machines with more of their cpus in use are tried last
+SCAN_INTERVAL_S = 3.0  # minimum time between scans for machines to empty
+MOVE_INTERVAL_S = 1.0  # minimum time between moving two replicas off the same machine
+# Minimum time between scans for replicas to move, because each scan indexes the capacity of all machines.
+MOVE_SCAN_INTERVAL_S = 0.5
+MIN_REPLICA_AGE_S = 35.0  # younger replicas are not moved
+MAX_FIT_ATTEMPTS_PER_SCAN = 8  # machines per scan whose replicas are tentatively allocated elsewhere
+MACHINES_PER_CONSOLIDATION = 40  # one machine is emptied at a time, plus one per this many machines in the shard
+MOSTLY_USED_FRACTION = 0.5  # machines with a larger share of their cpus in use are tried last
 
 
 class ConsolidationCandidate(Struct, order=True):
-    """A machine in use; fields are in the order of precedence: the most expensive and the emptiest come first."""
+    """A machine in use. Sorting by the fields in order puts the most expensive and the least used machines first."""
 
     is_mostly_used: bool
     negative_cpu_price: float
@@ -39,9 +40,10 @@
 
 
 class Consolidation:
-    """Empties machines of one shard, one replica after another.
+    """Empties machines of one shard, one replica at a time.
 
-    A replica moves only to a machine that has its image: it is away for two transactions, not for an image pull.
+    A replica is moved only to a machine that has its image, so that it is down for two transactions and not for an
+    image pull.
     """
 
     def __init__(self, state: ShardState, *, capacity: ShardCapacity, stops: TaskStops) -> None:
@@ -53,7 +55,10 @@
         self._moves_scanned_at = NEVER
 
     def run(self, headroom: Headroom, *, replicas_lack_capacity: bool) -> None:
-        """Move replicas away from machines that are emptied, and choose such machines now and then."""
+        """Move replicas off the machines being emptied, and periodically choose more machines to empty.
+
+        Stops emptying machines while replicas lack capacity.
+        """
         if replicas_lack_capacity:
             self._emptying.clear()
             return
@@ -68,7 +73,7 @@
                 self._scan(headroom, max_emptying, now)
 
     def _move_replicas(self, headroom: Headroom, now: MonotonicTime) -> None:
-        """Stop one replica on each machine that is emptied and whose last one runs elsewhere by now."""
+        """Stop one replica on each machine being emptied, unless a replica that was moved before is not running yet."""
         state = self._state
         capacity_index: CapacityIndex | None = None
         for name in list(self._emptying):
@@ -78,7 +83,7 @@
                 continue
             if now - self._emptying[name] < MOVE_INTERVAL_S:
                 continue
-            if any(not self._runs_completely(view) for view in state.store.jobs_on(name)):
+            if any(not self._all_replicas_running(view) for view in state.store.jobs_on(name)):
                 continue
             self._emptying[name] = now
             views = self._movable_jobs(machine, now)
@@ -90,8 +95,8 @@
             ref = placed_refs(views[0].record, name)[0]
             self._stops.stop(ref, machine, grace_s=0.0, reason="consolidation")
 
-    def _runs_completely(self, view: CachedJob) -> bool:
-        """Return whether all replicas of a job run: one can be moved then, and no second one is missing."""
+    def _all_replicas_running(self, view: CachedJob) -> bool:
+        """Return whether all replicas of a job run, so that moving one leaves only that one missing."""
         state = self._state
         return (
             not view.pending
@@ -105,7 +110,7 @@
         )
 
     def _movable_jobs(self, machine: Machine, now: MonotonicTime) -> list[CachedJob] | None:
-        """Return the jobs on a machine if all its tasks are replicas that have run for a while, else None."""
+        """Return the jobs on a machine, or None unless all its tasks are replicas older than MIN_REPLICA_AGE_S."""
         views = self._state.store.jobs_on(machine.id)
         if not views or any(not view.record.spec.service or view.record.phase is not Phase.OPEN for view in views):
             return None
@@ -114,7 +119,7 @@
         return views
 
     def _may_fit_elsewhere(self, views: list[CachedJob], name: MachineId, capacity_index: CapacityIndex) -> bool:
-        """Return whether each job by itself fits on other machines, before headroom is reserved."""
+        """Return whether each job on its own fits on other machines, before headroom is reserved."""
         for view in views:
             spec, tasks = view.record.spec, view.staged.placed_on(name)
             for capacity in capacity_index.candidates(spec, self._state.zone):
@@ -127,7 +132,7 @@
         return True
 
     def _allocate_elsewhere(self, views: list[CachedJob], machine: Machine, capacity_index: CapacityIndex) -> bool:
-        """Allocate the tasks of a machine on others, and return whether all fit."""
+        """Allocate the tasks of a machine on other machines; return whether all of them fit."""
         for view in views:
             tasks = view.staged.placed_on(machine.id)
             allowed = partial(_may_take_over, machine.id, view.record.spec.image)
@@ -137,40 +142,40 @@
         return True
 
     def _scan(self, headroom: Headroom, max_emptying: int, now: MonotonicTime) -> None:
-        """Choose the most expensive and emptiest machines whose replicas fit on others that have their images."""
+        """Choose the most expensive and least used machines whose replicas fit on others that have their images."""
         state = self._state
         capacity_index = self._capacity.index()
         unreserved: CapacityIndex | None = None
         attempts = 0
-        completeness: dict[JobId, bool] = {}
+        running_cache: dict[JobId, bool] = {}
         for candidate in self._candidates(capacity_index):
             name = candidate.machine
             machine = state.machines[name]
             views = self._movable_jobs(machine, now)
-            if views is None or not all(self._runs_completely_cached(view, completeness) for view in views):
+            if views is None or not all(self._all_replicas_running_cached(view, running_cache) for view in views):
                 continue
             if len(self._emptying) >= max_emptying:
                 return
             if not self._may_fit_elsewhere(views, name, capacity_index):
-                continue  # seen without new indexes, which are expensive among hundreds of machines
+                continue  # rejected without building new indexes, which is expensive with hundreds of machines
             attempts += 1
-            if attempts > MAX_ATTEMPTS_PER_SCAN:
+            if attempts > MAX_FIT_ATTEMPTS_PER_SCAN:
                 return
             if unreserved is None:
                 unreserved = headroom.reserve(capacity_index, state.zone, state.clock.wall_ms())
-            # Without the machine itself: headroom must have its capacity elsewhere, too.
-            rest = capacity_index.without(name)
+            # The machine itself is excluded, because headroom must have its capacity elsewhere, too.
+            remaining_index = capacity_index.without(name)
             if unreserved.by_name[name].cpus < capacity_index.by_name[name].cpus:
-                others = headroom.reserve(rest, state.zone, state.clock.wall_ms())
+                target_index = headroom.reserve(remaining_index, state.zone, state.clock.wall_ms())
             else:
-                others = unreserved.without(name).copy()
-            if self._allocate_elsewhere(views, machine, others):
-                capacity_index, unreserved = rest, None
+                target_index = unreserved.without(name).copy()
+            if self._allocate_elsewhere(views, machine, target_index):
+                capacity_index, unreserved = remaining_index, None
                 self._emptying[name] = MonotonicTime(now - MOVE_INTERVAL_S)
                 log.info("consolidation: emptying machine %s", name)
 
     def _candidates(self, capacity_index: CapacityIndex) -> list[ConsolidationCandidate]:
-        """Return the machines in use, in the order in which they are tried."""
+        """Return the machines in use, in the order in which they are considered."""
         machine_types = self._state.machine_types()
         candidates = []
         for capacity in capacity_index:
@@ -189,14 +194,14 @@
             )
         return sorted(candidates)
 
-    def _runs_completely_cached(self, view: CachedJob, known: dict[JobId, bool]) -> bool:
-        """Return `_runs_completely`, computed once a scan for each job: its replicas are on many machines."""
-        result = known.get(view.id)
+    def _all_replicas_running_cached(self, view: CachedJob, cache: dict[JobId, bool]) -> bool:
+        """Return `_all_replicas_running`, computed once per scan for each job: its replicas are on many machines."""
+        result = cache.get(view.id)
         if result is None:
-            result = known[view.id] = self._runs_completely(view)
+            result = cache[view.id] = self._all_replicas_running(view)
         return result
 
 
-def _may_take_over(leaving: MachineId, image: str, capacity: FreeCapacity) -> bool:
-    """Return whether it is another machine that is in use anyway and has the image."""
-    return capacity.machine != leaving and not capacity.empty and image in capacity.images
+def _may_take_over(source: MachineId, image: str, capacity: FreeCapacity) -> bool:
+    """Return whether the capacity is that of a machine other than `source` that is in use and has the image."""
+    return capacity.machine != source and not capacity.empty and image in capacity.images
--- a/src/cloverplank/shard/errors.py
+++ b/src/cloverplank/shard/errors.py
@@ -1,4 +1,4 @@
-"""Errors of a shard owner that doesn't respond to a heartbeat."""
+"""Errors raised when a shard owner refuses a heartbeat or has been fenced."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class HeartbeatRefusal(Enum):
-    """Why a heartbeat gets no response that renews the worker's lease. The value is the text sent to the worker."""
+    """Reason why a heartbeat is refused and renews no lease. The value is the text sent to the worker."""
 
     UNASSIGNED_TOKEN = "a token that nobody was granted"
     TOO_MANY_MACHINES = "too many machines"
@@ -21,13 +21,13 @@
     """A worker has seen a higher fencing token than this owner's."""
 
     def __init__(self, machine: MachineId, token: FencingToken) -> None:
-        super().__init__(f"machine {machine} has token {token}")
+        super().__init__(f"machine {machine} has fencing token {token}, higher than this owner's")
         self.machine = machine
         self.token = token
 
 
 class HeartbeatRefusedError(CloverplankError):
-    """A heartbeat gets no response that renews the worker's lease."""
+    """A heartbeat was refused, so the worker's lease is not renewed."""
 
     def __init__(self, machine: MachineId, refusal: HeartbeatRefusal) -> None:
         super().__init__(refusal.value)
--- a/src/cloverplank/shard/evictions.py
+++ b/src/cloverplank/shard/evictions.py
@@ -1,4 +1,4 @@
-"""Evictions: tasks leave a machine in the records once they are proven to have ended there."""
+"""Evictions: tasks are removed from a machine in the records once they are proven to have ended there."""
 
 from __future__ import annotations
 
@@ -15,18 +15,21 @@
 log = logging.getLogger(__name__)
 
 MAX_LOGGED_JOBS = 10
-SETTLE_DELAY_S = 1.0  # entries of evictions are dropped together with other changes of the job
+ENTRY_REMOVAL_DELAY_S = 1.0  # lets eviction entries be removed together with other changes of the job
 
 
 class Evictions:
-    """Evicts machines of one shard, and drops the entries of evictions that are over."""
+    """Evicts machines of one shard, and removes the entries of completed evictions."""
 
     def __init__(self, state: ShardState, changes: RecordChanges) -> None:
         self._state = state
         self._changes = changes
 
     def evict(self, name: MachineId, reason: str) -> None:
-        """Stage the removal of all tasks of this zone from the machine."""
+        """Stage the removal of all tasks of this zone from the machine.
+
+        The log line gives the tasks and the proof that they have ended.
+        """
         state = self._state
         views = [
             view
@@ -34,21 +37,21 @@
             if any(run.zone == state.zone for run in view.staged.runs_on.get(name, ()))
         ]
         if views:
-            tasks = " ".join(_placed_text(view, name) for view in views[:MAX_LOGGED_JOBS])
+            tasks = " ".join(_format_evicted_tasks(view, name) for view in views[:MAX_LOGGED_JOBS])
             log.info(
                 "eviction: machine %s %s, token %d, %s: %d jobs: %s",
                 name,
                 reason,
                 state.ownership.token,
-                self._proof_text(name),
+                self._lease_state_text(name),
                 len(views),
                 tasks,
             )
         for view in views:
             self._changes.stage(view, records.evict(name, state.clock.wall_ms()), TransactionPriority.PLACE)
 
-    def _proof_text(self, name: MachineId) -> str:
-        """Return what is known of the worker's lease and of what it has shown, as the log line gives it."""
+    def _lease_state_text(self, name: MachineId) -> str:
+        """Return the state of the worker's lease and the token and incarnation that it has shown, for the log line."""
         machine = self._state.machines.get(name)
         if machine is None:
             return "not in the shard"
@@ -59,14 +62,14 @@
             f"{machine.incarnation}, lease expires in {expires_at - now:.1f} s"
         )
 
-    def settle(self) -> None:
-        """Drop entries of evictions whose replacements are healthy, or that are too old."""
+    def remove_completed_entries(self) -> None:
+        """Remove the entries of evictions whose replacement tasks run, and those that exceed the age limit."""
         now = self._state.clock.wall_ms()
         for view in self._state.store.jobs.values():
             if view.staged.evictions and not view.pending:
-                self._settle_job(view, now)
+                self._remove_completed_entries_of(view, now)
 
-    def _settle_job(self, view: CachedJob, now: WallTimeMs) -> None:
+    def _remove_completed_entries_of(self, view: CachedJob, now: WallTimeMs) -> None:
         state = self._state
         limit_ms = state.limits.eviction_limit_ms
         entries = view.staged.evictions
@@ -79,10 +82,10 @@
         )
         if healthy or any(now - entry.evicted_at >= limit_ms for entry in entries):
             change = records.drop_evictions(now, limit_ms, replaced=healthy)
-            self._changes.stage(view, change, TransactionPriority.DONE, delay_s=SETTLE_DELAY_S)
+            self._changes.stage(view, change, TransactionPriority.DONE, delay_s=ENTRY_REMOVAL_DELAY_S)
 
 
-def _placed_text(view: CachedJob, machine: MachineId) -> str:
-    """Return the tasks of a job that are evicted, with their attempts: `run-000412/0-3,7 attempt 2`."""
+def _format_evicted_tasks(view: CachedJob, machine: MachineId) -> str:
+    """Return the evicted tasks of a job with their attempts, for example `run-000412/0-3,7 attempt 2`."""
     runs = view.staged.runs_on.get(machine, ())
     return ", ".join(f"{view.id}/{ranges.text(run.tasks)} attempt {run.attempt}" for run in runs)
--- a/src/cloverplank/shard/placement.py
+++ b/src/cloverplank/shard/placement.py
@@ -123,7 +123,7 @@
         zone = self._state.zone
         record, spec = queued_job.record, queued_job.record.spec
         wanted = min(record.allocation.get(zone, 0) - record.placed(zone), record.missing_count())
-        if wanted <= 0 or self._failures.backs_off(record.id, now) or view.has_pending(Decision.PLACEMENT):
+        if wanted <= 0 or self._failures.is_backing_off(record.id, now) or view.has_pending(Decision.PLACEMENT):
             return 0
         if spec.gang and (record.runs or wanted < record.missing_count()):
             self._stop_gang(view)  # what is left of it stops, then it starts again whole
--- a/src/cloverplank/shard/shard.py
+++ b/src/cloverplank/shard/shard.py
@@ -97,7 +97,7 @@
 
     def settle_evictions(self) -> None:
         """Drop entries of evictions that are over."""
-        self._evictions.settle()
+        self._evictions.remove_completed_entries()
 
     def take_newly_lost(self) -> bool:
         """Return whether a machine was lost since the last call."""
