--- a/src/cloverplank/shard/former_owners.py
+++ b/src/cloverplank/shard/former_owners.py
@@ -1,4 +1,4 @@
-"""The former owners of each shard, for as long as they may still answer its workers."""
+"""Former owners of each shard, tracked for as long as they may still respond to its workers."""
 
 from __future__ import annotations
 
@@ -10,21 +10,24 @@
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.records.cluster import ShardRecord
 
-MARGIN_S = 5.0  # beyond its grace period, for which a former owner counts as possibly running
+RETENTION_MARGIN_S = 5.0  # added to the grace period during which a former owner may still be running
 
 
 class _Owner(Struct):
-    """A controller that a shard was assigned to; `ended_at`: when the end of its assignment came, None before that."""
+    """A controller that a shard was assigned to.
+
+    `ended_at`: when the end of the assignment was received; None while the assignment is in effect.
+    """
 
     node: NodeId
     ended_at: MonotonicTime | None = None
 
 
 class FormerOwners:
-    """Notes every assignment to another controller as the watch delivers it, however short it was.
+    """Records every assignment of a shard to another controller as the watch delivers it.
 
-    A look at the cache now and then would miss an owner whose assignment began and ended in between, and which may go
-    on with its workers without the key-value store.
+    Polling the cache would miss an owner whose assignment began and ended between two polls, and which may continue to
+    respond to its workers without access to the key-value store.
     """
 
     def __init__(
@@ -39,21 +42,21 @@
         self._clock = clock
         self._controller_lease = controller_lease
         self._watch_cache = watch_cache
-        self._max_age_s = grace_s + MARGIN_S
+        self._max_age_s = grace_s + RETENTION_MARGIN_S
         self._zones = {keys.shard(zone): zone for zone in zones}
-        self._owners: dict[Zone, dict[int, _Owner]] = {zone: {} for zone in zones}  # by their leases
-        self._known_since = clock.monotonic()  # no assignment since then was missed
+        self._owners: dict[Zone, dict[int, _Owner]] = {zone: {} for zone in zones}  # by their lease IDs
+        self._complete_since = clock.monotonic()  # no later assignment was missed
 
     def key_changed(self, key: str) -> None:
-        """Note the change of a key; an empty one stands for all, which were read anew."""
+        """Handle the change of a key. An empty key means that the whole cache was reloaded."""
         if not key:
-            # What was assigned between the last watch and the reading is not known.
-            self._known_since = self._clock.monotonic()
+            # Assignments between the last watch event and the reload are unknown.
+            self._complete_since = self._clock.monotonic()
         elif key in self._zones:
-            self._note_assignment(key, self._zones[key])
+            self._record_assignment(key, self._zones[key])
 
-    def _note_assignment(self, key: str, zone: Zone) -> None:
-        self._forget_old(zone)
+    def _record_assignment(self, key: str, zone: Zone) -> None:
+        self._remove_expired(zone)
         owners = self._owners[zone]
         now = self._clock.monotonic()
         for owner in owners.values():
@@ -64,14 +67,14 @@
             owners[stored.record.lease] = _Owner(NodeId(stored.record.node))
 
     def have_ended(self, zone: Zone) -> bool:
-        """Return whether no former owner of a shard answers workers any more.
+        """Return whether no former owner of the shard responds to workers any longer.
 
-        A controller that has joined again has ended its former process or released its assignment: either way that
-        one answers no worker any more. This has to hold for every owner that can still be running without the store,
-        not for the last one alone.
+        A controller that has joined again has ended its former process or released its assignment. In either case it
+        no longer responds to workers under that assignment. This must hold for every owner that may still be running
+        without the key-value store, not only for the last one.
         """
-        self._forget_old(zone)
-        if self._clock.monotonic() - self._known_since < self._max_age_s:
+        self._remove_expired(zone)
+        if self._clock.monotonic() - self._complete_since < self._max_age_s:
             return False
         members = self._controller_lease.members()
         return all(
@@ -80,10 +83,10 @@
             for lease, owner in self._owners[zone].items()
         )
 
-    def _forget_old(self, zone: Zone) -> None:
-        oldest = self._clock.monotonic() - self._max_age_s
+    def _remove_expired(self, zone: Zone) -> None:
+        min_ended_at = self._clock.monotonic() - self._max_age_s
         owners = self._owners[zone]
         for lease in [
-            lease for lease, owner in owners.items() if owner.ended_at is not None and owner.ended_at < oldest
+            lease for lease, owner in owners.items() if owner.ended_at is not None and owner.ended_at < min_ended_at
         ]:
             del owners[lease]
--- a/src/cloverplank/shard/heartbeat_handler.py
+++ b/src/cloverplank/shard/heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""HTTP handler of heartbeats: answered by the owned shard, or redirected to the controller that owns it."""
+"""HTTP handler for heartbeats: an owned shard responds, other heartbeats are redirected to the shard's owner."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from cloverplank.wire.users import ErrorResponse
 from cloverplank.wire.workers import Heartbeat, Redirect
 
-TERMINATED_RETRY_S = 30
-REFUSED_RETRY_S = 1
+TERMINATED_RETRY_AFTER_S = 30
+REFUSED_RETRY_AFTER_S = 1
 
 
 class HeartbeatHandler:
-    """Responds to heartbeats of all zones."""
+    """Responds to the heartbeats of all zones."""
 
     def __init__(
         self,
@@ -51,32 +51,35 @@
         if not self._gossip.note_worker(heartbeat.zone, heartbeat.machine):
             return make_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect())
         if heartbeat.machine in self._registry.terminated:
-            # A late duplicate. It must not bring the machine back.
-            return _unavailable("released", TERMINATED_RETRY_S)
-        return self._by_owned_shard(heartbeat) or self._redirect(Zone(heartbeat.zone))
+            # A late duplicate, which must not add the terminated machine again.
+            return _unavailable("released", TERMINATED_RETRY_AFTER_S)
+        return self._respond_from_owned_shard(heartbeat) or self._redirect(Zone(heartbeat.zone))
 
-    def _by_owned_shard(self, heartbeat: Heartbeat) -> Response | None:
-        """Return the shard's response; None where this controller does not own the shard."""
+    def _respond_from_owned_shard(self, heartbeat: Heartbeat) -> Response | None:
+        """Return the shard's response, or None if this controller does not own the shard."""
         zone = Zone(heartbeat.zone)
         shard = self._owned.shards.get(zone)
         if shard is None or shard.ownership.superseded:
             return None
         if self._controller_lease.check() is LeaseState.EXPIRED:
-            return _unavailable("out of touch", REFUSED_RETRY_S)
-        # None: the lease has certainly expired, and the assignment with it.
+            return _unavailable("out of touch", REFUSED_RETRY_AFTER_S)
+        # None means that the lease has certainly expired, and the assignment with it.
         assigned_token = self._controller_lease.assigned_token(zone)
-        if assigned_token is None or assigned_token not in (shard.ownership.token, self._owned.renewed.get(zone)):
+        if assigned_token is None or assigned_token not in (
+            shard.ownership.token,
+            self._owned.renewed_tokens.get(zone),
+        ):
             return None
         try:
             return make_response(HTTPStatus.OK, shard.on_heartbeat(heartbeat))
         except HeartbeatRefusedError as err:
-            return _unavailable(str(err), REFUSED_RETRY_S)
+            return _unavailable(str(err), REFUSED_RETRY_AFTER_S)
         except FencedError:
             self._request_cycle()
             return make_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect())
 
     def _redirect(self, zone: Zone) -> Response:
-        """Return the owner's name, where one is known that hears workers."""
+        """Return a redirect, which names the shard's owner if one is known that receives heartbeats."""
         known_revision = self._watch_cache.mod_revision(keys.shard(zone))
         owner = self._gossip.later_owner(zone, known_revision) or self._controller_lease.shard_owner(zone)
         if owner is None or owner == self._controller_lease.node_id or self._gossip.declines_workers(owner):
--- a/src/cloverplank/shard/heartbeat_intake.py
+++ b/src/cloverplank/shard/heartbeat_intake.py
@@ -1,4 +1,4 @@
-"""Heartbeat intake: what a shard owner learns from a heartbeat, and its response."""
+"""Heartbeat processing: updates the shard owner's state from heartbeats, and builds the responses."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class HeartbeatIntake:
-    """Takes in the heartbeats of one shard's workers, and their responses to command requests.
+    """Processes the heartbeats of one shard's workers, and their responses to command requests.
 
-    `start_probe`: asks a machine directly whether two-way contact exists.
+    `start_probe`: sends a request to a machine to check for two-way contact.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._start_probe = start_probe
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse:
-        """Take in a heartbeat and return the response, which renews the worker's lease.
+        """Process a heartbeat and return the response, which renews the worker's lease.
 
         Raises:
             HeartbeatRefusedError: the heartbeat must not renew a lease.
@@ -61,16 +61,18 @@
         machine.last_heartbeat = (heartbeat.incarnation, heartbeat.sequence)
         machine.last_heartbeat_at = now
         machine.addr, machine.type, machine.spot = heartbeat.addr or machine.addr, heartbeat.type, heartbeat.spot
-        commands = self._due_commands(machine) if self.learn(machine, heartbeat, in_response=True) else []
-        machine.unacknowledged = 0 if heartbeat.token == ownership.token else machine.unacknowledged + 1
-        if machine.unacknowledged > MAX_UNACKNOWLEDGED:
+        commands = self._due_commands(machine) if self.apply_status(machine, heartbeat, is_heartbeat=True) else []
+        machine.unacknowledged_responses = (
+            0 if heartbeat.token == ownership.token else machine.unacknowledged_responses + 1
+        )
+        if machine.unacknowledged_responses > MAX_UNACKNOWLEDGED:
             self._refuse_until_lease_expires(machine, now)
-            machine.unacknowledged = 1
+            machine.unacknowledged_responses = 1
         machine.last_response_at = state.clock.monotonic()
         return HeartbeatResponse(ownership.token, commands)
 
     def _due_commands(self, machine: Machine) -> list[Command]:
-        """Return the commands for a response, and record what follows from sending them."""
+        """Return the commands for a response, and record that they are being sent."""
         commands, acknowledgements = self._task_reconciler.due(machine)
         if commands or len(acknowledgements) >= MAX_DEFERRED_ACKS:
             commands = (acknowledgements + commands)[:MAX_COMMANDS]
@@ -80,20 +82,23 @@
         return commands
 
     def _refuse_until_lease_expires(self, machine: Machine, now: MonotonicTime) -> None:
-        """Refuse a response to a machine that shows none of this owner's responses.
+        """Refuse the heartbeat of a machine that has acknowledged none of this owner's responses.
 
-        It receives none of them, or some of them. Each might renew the lease of tasks that the owner knows nothing
-        of, so there are none until that lease has certainly expired.
+        The machine receives none or only some of them. Each response might renew the lease of tasks that are unknown to
+        the owner, so none is sent until that lease has certainly expired.
+
+        Raises:
+            HeartbeatRefusedError: the lease may not have expired yet.
         """
         has_tasks = machine.health is not Health.TAINTED and bool(self._state.store.jobs_on(machine.id))
         expiry_at = self._state.tasks_expire_at(machine)
         if has_tasks or now < expiry_at:
             raise HeartbeatRefusedError(machine.id, HeartbeatRefusal.RESPONSES_LOST)
 
-    def learn(self, machine: Machine, heartbeat: Heartbeat, *, in_response: bool) -> bool:
-        """Take in a machine's status; return False if it is outdated or carries no token of this owner.
+    def apply_status(self, machine: Machine, heartbeat: Heartbeat, *, is_heartbeat: bool) -> bool:
+        """Apply a machine's status; return False if it is outdated or carries no token of this owner.
 
-        `in_response`: it came by itself and gets a response; otherwise it is the response to a command request.
+        `is_heartbeat`: the worker sent the status as a heartbeat, otherwise in the response to a command request.
         """
         now = self._state.clock.monotonic()
         if not machine.is_newer(heartbeat):
@@ -101,18 +106,18 @@
         notice_s = heartbeat.notice_s
         machine.terminates_at = MonotonicTime(now + max(0.0, notice_s)) if notice_s is not None else None
         machine.last_contact_at = now
-        token_before, machine.token = machine.token, max(machine.token or 0, heartbeat.token)
+        previous_token, machine.token = machine.token, max(machine.token or 0, heartbeat.token)
         if heartbeat.token not in self._ownership.own_tokens:
-            # It proves nothing: it may be older than commands of the former owner that are still on their way.
+            # The status proves nothing: it may be older than commands of the former owner that are still in transit.
             machine.incarnation, machine.sequence = heartbeat.incarnation, heartbeat.sequence
             return False
         if not machine.fenced:
-            # Until now a former owner can have answered it.
+            # A former owner may have responded to the machine until now.
             machine.fenced = True
             machine.last_response_at = max(machine.last_response_at, now)
-        machine.apply(heartbeat, now, in_response=in_response)
-        # A command response, or a higher token than before, shows that something of this owner's has arrived.
-        if not in_response or (token_before is not None and token_before < heartbeat.token):
+        machine.apply(heartbeat, now, is_heartbeat=is_heartbeat)
+        # A command response, or a higher token than before, shows that a message of this owner has arrived.
+        if not is_heartbeat or (previous_token is not None and previous_token < heartbeat.token):
             machine.confirm_contact()
         if machine.health is not Health.UP or not machine.contact_confirmed:
             self._update_health(machine, now)
@@ -121,7 +126,7 @@
 
     def _update_health(self, machine: Machine, now: MonotonicTime) -> None:
         if not machine.contact_confirmed:
-            reason = "new incarnation" if machine.health is Health.UP else "heartbeat after a silence or a restart"
+            reason = "new incarnation" if machine.health is Health.UP else "heartbeat after silence or restart"
             machine.transition(Health.UNCONFIRMED, reason)
             self._start_probe(machine)
         elif self._state.heartbeat_age_s(machine, now) > self._state.limits.suspect_after_s:
--- a/src/cloverplank/shard/liveness.py
+++ b/src/cloverplank/shard/liveness.py
@@ -1,4 +1,4 @@
-"""Liveness tracking: which machines of a shard are up, by heartbeats, by probes and by the clock."""
+"""Liveness tracking: the health of a shard's machines as determined by heartbeats, probes and lease expiry."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 log = logging.getLogger(__name__)
 
-CHECK_INTERVAL_S = 0.2  # between two checks of all machines
-UNRESOLVED_TIMEOUT_S = 3.0
-FORGET_TAINTED_AFTER_S = 600.0
-# A machine that responds to commands and sends no heartbeats is partitioned after this part of its lease, and so many
-# heartbeat intervals: a worker whose response was lost is back sooner.
+CHECK_INTERVAL_S = 0.2  # minimum time between checks of all machines
+UNRESOLVED_TIMEOUT_S = 3.0  # for a start command without a response, until a new token is requested
+FORGET_TAINTED_AFTER_S = 600.0  # silence after which a tainted machine without tasks is removed
+# A machine that responds to commands and sends no heartbeats counts as partitioned after this fraction of its lease,
+# but not before this many heartbeat intervals: a worker whose response was lost sends its next heartbeat sooner.
 PARTITIONED_LEASE_FRACTION = 0.7
 PARTITIONED_HEARTBEATS = 3.2
 UNSAVED_STATES = (TaskState.RUNNING, TaskState.SAVING)
 
 
 class LivenessTracker:
-    """Judges the machines of one shard: evicts what has certainly ended, and marks lost machines.
+    """Updates the health of one shard's machines, evicts tasks that have certainly ended, and marks lost machines.
 
-    `evict`: removes a machine's tasks from the records, for the reason given.
+    `evict`: removes a machine's tasks from the records, for the given reason.
     """
 
     def __init__(
@@ -56,7 +56,10 @@
         self._checked_at = NEVER
 
     def check(self) -> None:
-        """Taint silent machines and evict tainted ones. A return within the lease changes nothing."""
+        """Taint machines that stay silent until their lease expires, and evict tainted ones.
+
+        A machine that recovers within its lease keeps its tasks.
+        """
         state = self._state
         now = state.clock.monotonic()
         if now - self._checked_at < CHECK_INTERVAL_S:
@@ -64,18 +67,18 @@
         self._checked_at = now
         self._add_machines_with_tasks()
         if not state.may_start():
-            return  # no change that follows from it could be committed
+            return  # no change that results from the check could be committed
         is_isolated = self._prober.hears_no_workers_since(MonotonicTime(now - PROBE_TIMEOUT_S))
         for machine in list(state.machines.values()):
             self._check_machine(machine, now, is_isolated=is_isolated)
         self._stops.drop_expired(now)
 
     def _add_machines_with_tasks(self) -> None:
-        """Add machines that former owners placed tasks on, and evict those that were terminated."""
+        """Add machines on which former owners placed tasks, and evict those that were terminated."""
         state = self._state
         for name in [name for name in state.store.by_machine if name not in state.machines]:
             if state.draining.is_terminated(name):
-                # Terminated before this owner had the shard, or its eviction was lost with the former owner.
+                # Terminated before this owner acquired the shard, or its eviction was lost with the former owner.
                 if state.may_start():
                     self._evict(name, "terminated")
             elif any(
@@ -87,9 +90,11 @@
 
     def _check_machine(self, machine: Machine, now: MonotonicTime, *, is_isolated: bool) -> None:
         state, limits = self._state, self._state.limits
-        # The heartbeats of a machine that shows none of the responses don't count as contact.
+        # The heartbeats of a machine that acknowledges none of the responses don't count as contact.
         contact_at = (
-            machine.last_contact_at if machine.unacknowledged <= MAX_UNACKNOWLEDGED else machine.last_response_at
+            machine.last_contact_at
+            if machine.unacknowledged_responses <= MAX_UNACKNOWLEDGED
+            else machine.last_response_at
         )
         silent_s = now - max(contact_at, state.ownership.since)
         if machine.health in (Health.UP, Health.UNCONFIRMED):
@@ -105,9 +110,9 @@
             and now >= state.tasks_expire_at(machine)
         ):
             self._taint(machine, silent_s)
-        if machine.is_unreachable():
+        if machine.has_inbound_partition():
             self._evict_absent_tasks(machine, INBOUND_PARTITION)
-        if machine.health is Health.SUSPECT and not is_isolated:  # else it may be the owner that is cut off
+        if machine.health is Health.SUSPECT and not is_isolated:  # otherwise the owner itself may be partitioned
             self._check_outbound_partition(machine, now)
         if machine.health is Health.TAINTED:
             self._clear_tainted(machine, silent_s)
@@ -121,8 +126,8 @@
         self._stops.check_termination(machine, now)
 
     def _taint(self, machine: Machine, silent_s: float) -> None:
-        if machine.health is Health.UNHEARD and not self._state.store.jobs_on(machine.id):
-            return  # it never came up, and has no tasks
+        if machine.health is Health.AWAITING_HEARTBEAT and not self._state.store.jobs_on(machine.id):
+            return  # the machine never came up, and has no tasks
         machine.transition(Health.TAINTED, f"silent for {silent_s:.1f} s, lease expired")
         self._state.request_cycle()
 
@@ -134,11 +139,11 @@
             del self._state.machines[machine.id]
 
     def _check_outbound_partition(self, machine: Machine, now: MonotonicTime) -> None:
-        """Handle a machine that responds to commands and whose heartbeats reach nobody.
+        """Handle a machine that responds to commands but whose heartbeats do not arrive.
 
-        No response to a heartbeat renews its lease, whose expiry ends its tasks. Checkpoints are saved before that;
-        then it is lost, and its termination proves its tasks ended. Where it can't be terminated, its next
-        incarnation does.
+        No response to a heartbeat renews its lease, so the lease expires and ends its tasks. Checkpoints are saved
+        before that. Then the machine is marked as lost, and its termination proves that its tasks have ended. If it
+        can't be terminated, its next incarnation proves that.
         """
         limits = self._state.limits
         heartbeat_age_s = self._state.heartbeat_age_s(machine, now)
@@ -156,7 +161,7 @@
         self._evict_absent_tasks(machine, OUTBOUND_PARTITION)
 
     def _stop_tasks_with_checkpoints(self, machine: Machine) -> bool:
-        """Stop the tasks that can save a checkpoint; return whether any still runs or saves."""
+        """Stop the tasks that can save a checkpoint; return whether any of them is still running or saving."""
         saving = [
             (ref, view.record.spec.save_s)
             for view in self._state.store.jobs_on(machine.id)
@@ -169,15 +174,15 @@
         return bool(saving)
 
     def _evict_absent_tasks(self, machine: Machine, reason: str) -> None:
-        """Evict if the newest heartbeat shows none of the placed tasks, and no start command may still arrive."""
+        """Evict the machine if its newest heartbeat shows no placed task, and no start command may still arrive."""
         refs = [ref for view in self._state.store.jobs_on(machine.id) for ref in placed_refs(view.record, machine.id)]
         if refs and not any(ref in machine.tasks or machine.may_start_late(ref) for ref in refs):
             self._evict(machine.id, reason)
 
     def _check_unresolved(self, machine: Machine, now: MonotonicTime) -> None:
-        """Request a new token where a start command got no response and the machine goes on sending heartbeats.
+        """Request a new token if a start command got no response while the machine continues to send heartbeats.
 
-        Its lease doesn't expire then, so only a new token makes sure that the command is not executed any more.
+        Its lease does not expire then, so only a new token ensures that the command is no longer executed.
         """
         ownership = self._state.ownership
         if not machine.contact_confirmed:
@@ -187,10 +192,12 @@
             if is_current and now - start.sent_at > UNRESOLVED_TIMEOUT_S:
                 if not ownership.token_renewal_wanted:
                     log.info(
-                        "shard %s: commands for task %s on machine %s may arrive late: new token wanted",
+                        "shard %s: start of task %s attempt %d on machine %s unanswered after %.1f s: new token wanted",
                         ownership.zone,
                         ref.name,
+                        ref.attempt,
                         machine.id,
+                        UNRESOLVED_TIMEOUT_S,
                     )
                 ownership.token_renewal_wanted = True
                 return
--- a/src/cloverplank/shard/lost_machines.py
+++ b/src/cloverplank/shard/lost_machines.py
@@ -1,4 +1,4 @@
-"""Lost machines: silent ones without a response to a probe. The leader terminates them, which proves tasks ended."""
+"""Lost machines: silent without a probe response. The leader terminates them, which proves that their tasks ended."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 log = logging.getLogger(__name__)
 
-# Where more machines than this are lost at once, it may be the owner that is cut off: none are marked then.
+# No more machines are marked when this many are lost at the same time: the owner itself may be partitioned.
 MIN_LOST_LIMIT = 2
 MAX_LOST_FRACTION = 0.6
 
@@ -23,10 +23,10 @@
         self._changed = False
 
     def mark(self, machine: Machine, now: MonotonicTime, reason: str) -> None:
-        """Mark the machine as lost, unless so many others are that the owner itself may be cut off."""
+        """Mark the machine as lost, unless so many others are lost that the owner itself may be partitioned."""
         machines = self._state.machines
-        others = sum(1 for other in machines.values() if other.lost_since is not None and other is not machine)
-        if others >= max(MIN_LOST_LIMIT, MAX_LOST_FRACTION * len(machines)):
+        other_lost = sum(1 for other in machines.values() if other.lost_since is not None and other is not machine)
+        if other_lost >= max(MIN_LOST_LIMIT, MAX_LOST_FRACTION * len(machines)):
             return
         if machine.lost_since is None:
             log.info("machine %s: %s", machine.id, reason)
--- a/src/cloverplank/shard/machine.py
+++ b/src/cloverplank/shard/machine.py
@@ -1,4 +1,4 @@
-"""A machine of a shard as its owner sees it."""
+"""State of a machine in a shard, as known to the shard's owner."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 log = logging.getLogger(__name__)
 
 MAX_IMAGES = 80
-CACHE_FRACTION = 0.9  # of a machine's image cache that the remembered images may fill
-EXPIRY_MARGIN_S = 0.2  # added to a worker's lease for delays inside the worker
+MAX_CACHE_FRACTION = 0.9  # share of a machine's image cache that the remembered images may fill
+EXPIRY_MARGIN_S = 0.2  # added to a worker's lease to allow for delays inside the worker
 
 
 class Health(Enum):
-    """Whether a machine may take new tasks. The values are encoded in gossip."""
+    """Health of a machine, which decides whether it accepts new tasks. The values are encoded in gossip."""
 
-    UNHEARD = "unheard"  # no heartbeat with this owner's token yet
+    AWAITING_HEARTBEAT = "unheard"  # no heartbeat with this owner's token has arrived yet
     UP = "up"
-    UNCONFIRMED = "doubted"  # sends heartbeats, but two-way contact isn't confirmed: no new tasks
+    UNCONFIRMED = "doubted"  # heartbeats arrive, but two-way contact is not confirmed: no new tasks
     SUSPECT = "quiet"  # heartbeats are missing: no new tasks
-    TAINTED = "tainted"  # silent past the threshold and its lease has expired: evicted
+    TAINTED = "tainted"  # silent past the threshold, and its lease has expired: its tasks are evicted
 
 
 class UnresolvedStart(Struct, frozen=True):
-    """A start command without a response: the worker may still execute it."""
+    """A start command without a response, which the worker may still execute."""
 
     token: FencingToken
     sent_at: MonotonicTime
 
 
 class Machine(Struct, eq=False):
-    """State of one machine. All times are of the owner's monotonic clock."""
+    """State of one machine. All times are taken from the owner's monotonic clock."""
 
     id: MachineId
     zone: Zone
@@ -43,38 +43,38 @@
     addr: str = ""
     type: str = ""
     spot: bool = False
-    health: Health = Health.UNHEARD
-    up_since: MonotonicTime | None = None  # when it last became up
-    fenced: bool = False  # the worker has this owner's token: no other owner's responses or commands count any more
+    health: Health = Health.AWAITING_HEARTBEAT
+    up_since: MonotonicTime | None = None  # when its health last became UP
+    fenced: bool = False  # the worker has this owner's token, and ignores other owners' responses and commands
     incarnation: int = 0
     sequence: int = 0
-    last_heartbeat: tuple[int, int] = (0, 0)  # incarnation and sequence of the newest one, command responses aside
-    token: int | None = None  # the highest token that its heartbeats have carried
-    contact_confirmed: bool = False  # responses or commands have reached this incarnation since it was last silent
-    unacknowledged: int = 0  # heartbeats answered since one carried this owner's token
-    last_contact_at: MonotonicTime = NEVER  # the newest heartbeat or command response
-    last_heartbeat_at: MonotonicTime = NEVER  # only a response to a heartbeat renews a lease; one to a command does not
-    last_response_at: MonotonicTime = NEVER  # the owner's last response that can have renewed its lease
-    terminates_at: MonotonicTime | None = None  # when the cloud takes it away, once announced
+    last_heartbeat: tuple[int, int] = (0, 0)  # incarnation and sequence of the newest one, excluding command responses
+    token: int | None = None  # the highest token carried by its heartbeats
+    contact_confirmed: bool = False  # a response or command has reached this incarnation since it was last silent
+    unacknowledged_responses: int = 0  # heartbeats answered since the last one with this owner's token
+    last_contact_at: MonotonicTime = NEVER  # arrival of the newest heartbeat or command response
+    last_heartbeat_at: MonotonicTime = NEVER  # newest heartbeat; command responses are excluded, as they renew no lease
+    last_response_at: MonotonicTime = NEVER  # the owner's last response that may have renewed its lease
+    terminates_at: MonotonicTime | None = None  # when the cloud provider terminates it, if announced
     tasks: dict[TaskRef, TaskStatus] = field(default_factory=dict)
-    reported_tasks: list[TaskStatus] = field(default_factory=list)  # the same as the newest heartbeat lists them
-    reconciled_at_change: int | None = None  # the store's change count when nothing was left to do for it
+    reported_tasks: list[TaskStatus] = field(default_factory=list)  # the same tasks, as listed in the newest heartbeat
+    reconciled_at_change: int | None = None  # the store's change count when it was last found fully reconciled
     first_seen: dict[TaskRef, MonotonicTime] = field(default_factory=dict)
     seen_running: set[TaskRef] = field(default_factory=set)
-    started_in_response: set[TaskRef] = field(default_factory=set)  # by the last response, outcome not seen
-    started_in_commands: set[TaskRef] = field(default_factory=set)  # by command requests in flight
+    started_in_response: set[TaskRef] = field(default_factory=set)  # started by the last response, outcome unknown
+    started_in_commands: set[TaskRef] = field(default_factory=set)  # started by command requests in flight
     unresolved: dict[TaskRef, UnresolvedStart] = field(default_factory=dict)
-    images: dict[str, float] = field(default_factory=dict)  # sizes in GB, the most recently used last
+    images: dict[str, float] = field(default_factory=dict)  # sizes in GB by name, the most recently used last
     known_images: frozenset[str] = frozenset()  # the names in `images`
     failed_jobs: set[str] = field(default_factory=set)
     probing: bool = False
-    lost_since: MonotonicTime | None = None  # silent, and a probe got no response
+    lost_since: MonotonicTime | None = None  # when it was last marked as lost: silent, and no probe response
     sending: bool = False  # a command request is in flight
     resend_wanted: bool = False
     send_failed_at: MonotonicTime = NEVER
 
     def transition(self, health: Health, reason: str) -> None:
-        """Change the health, and log it with the reason."""
+        """Change the health, and log the change with its reason."""
         if health is not self.health:
             level = logging.INFO if Health.TAINTED in (health, self.health) else logging.DEBUG
             log.log(level, "machine %s: %s -> %s: %s", self.id, self.health.value, health.value, reason)
@@ -82,21 +82,21 @@
             self.reconciled_at_change = None
 
     def is_newer(self, heartbeat: Heartbeat) -> bool:
-        """Return whether the heartbeat is newer than all state known of the worker, command responses included."""
+        """Return whether the heartbeat is newer than the known state of the worker, including command responses."""
         return (heartbeat.incarnation, heartbeat.sequence) > (self.incarnation, self.sequence)
 
     def is_duplicate(self, heartbeat: Heartbeat) -> bool:
-        """Return whether this heartbeat, or a later one, has been received before.
+        """Return whether this heartbeat or a later one was received before.
 
-        A worker has one heartbeat in flight at a time, so nobody waits for the response to a duplicate.
+        A worker has one heartbeat in flight at a time, so it does not wait for the response to a duplicate.
         """
         return (heartbeat.incarnation, heartbeat.sequence) <= self.last_heartbeat
 
     def is_unchanged(self, heartbeat: Heartbeat, change_count: int) -> bool:
-        """Return whether neither the machine's state nor its jobs have changed since nothing was left to do.
+        """Return whether neither the machine's state nor its jobs have changed since it was fully reconciled.
 
-        Most heartbeats are like that, and must not cost what grows with tasks or jobs. `change_count`: the store's
-        present count of changes for this machine.
+        This holds for most heartbeats, so their cost must not grow with the number of tasks or jobs. `change_count`:
+        the store's current count of changes for this machine.
         """
         return (
             self.reconciled_at_change == change_count
@@ -119,20 +119,20 @@
         self.sequence = heartbeat.sequence
         self.last_heartbeat = (heartbeat.incarnation, heartbeat.sequence)
         self.last_contact_at = self.last_heartbeat_at = self.last_response_at = now
-        self.unacknowledged = 0
+        self.unacknowledged_responses = 0
 
-    def apply(self, heartbeat: Heartbeat, now: MonotonicTime, *, in_response: bool) -> None:
-        """Record a newer heartbeat that carries one of this owner's tokens.
+    def apply(self, heartbeat: Heartbeat, now: MonotonicTime, *, is_heartbeat: bool) -> None:
+        """Record a newer status that carries one of this owner's tokens.
 
-        `in_response`: it came by itself and gets a response; otherwise it is the response to a command request.
+        `is_heartbeat`: the worker sent the status as a heartbeat, otherwise in the response to a command request.
         """
         if heartbeat.incarnation != self.incarnation:
-            # Commands for a former incarnation are not executed any more.
+            # Commands for a former incarnation are no longer executed.
             self.unresolved.clear()
             self.started_in_response.clear()
             self.contact_confirmed = False
-        elif in_response:
-            # One heartbeat is in flight at a time: the response to the last one was handled or dropped.
+        elif is_heartbeat:
+            # One heartbeat is in flight at a time, so the response to the previous one was handled or dropped.
             self.started_in_response.clear()
         for ref, start in list(self.unresolved.items()):
             if start.token < heartbeat.token:
@@ -152,31 +152,32 @@
     def confirm_contact(self) -> None:
         """Record two-way contact.
 
-        A heartbeat alone proves none: it may be a late duplicate, or the machine may be in a one-way partition.
+        A heartbeat alone does not prove it: it may be a late duplicate, or the machine may be in a one-way partition.
         """
         self.contact_confirmed = True
         self.lost_since = None
 
-    def is_unreachable(self) -> bool:
-        """Return whether its heartbeats arrive and a probe got no response: a one-way partition towards it."""
+    def has_inbound_partition(self) -> bool:
+        """Return whether heartbeats arrive but a probe got no response, which indicates an inbound partition."""
         return self.health is Health.UNCONFIRMED and self.lost_since is not None
 
     def may_start_late(self, ref: TaskRef) -> bool:
-        """Return whether a start command may still be executed although no heartbeat shows the task."""
+        """Return whether a start command for the task may still be executed although no heartbeat shows the task."""
         return ref in self.started_in_response or ref in self.started_in_commands or ref in self.unresolved
 
     def forget_tasks(self) -> None:
-        """Drop all tasks and start commands: they are proven to have ended."""
+        """Drop all tasks and start commands, because the tasks are proven to have ended."""
         self.started_in_response.clear()
         self.started_in_commands.clear()
         self.unresolved.clear()
         self.tasks.clear()
 
     def tasks_expire_at(self, lease_s: float, unfenced_expiry_at: MonotonicTime) -> MonotonicTime:
-        """Return when its tasks have certainly ended if it stays silent.
+        """Return when the machine's tasks have certainly ended if it stays silent.
 
-        That is when the lease expires, counted from the owner's last response, or, while the worker has not carried
-        the owner's token, from the last response that a former owner can have given (`unfenced_expiry_at`).
+        That is when the lease expires, counted from the owner's last response. While the worker has not shown the
+        owner's token, it is no earlier than the expiry of a lease that a former owner's last possible response renewed
+        (`unfenced_expiry_at`).
         """
         expiry_at = MonotonicTime(self.last_response_at + lease_s * (1 + 2 * DRIFT) + EXPIRY_MARGIN_S)
         return expiry_at if self.fenced else max(expiry_at, unfenced_expiry_at)
@@ -184,13 +185,13 @@
     def remember_image(self, image: str, size_gb: float, cache_gb: float) -> None:
         """Record the use of an image.
 
-        The worker keeps the most recently used images, as far as its cache goes. Remembering fewer would send tasks
-        that should start at once to machines that have to pull the image first.
+        The worker keeps the most recently used images that fit in its cache. If fewer were remembered here, tasks that
+        should start at once would be sent to machines that have to pull the image first.
         """
         is_new = self.images.pop(image, None) is None
         self.images[image] = size_gb
         while len(self.images) > 1 and (
-            len(self.images) > MAX_IMAGES or sum(self.images.values()) > CACHE_FRACTION * cache_gb
+            len(self.images) > MAX_IMAGES or sum(self.images.values()) > MAX_CACHE_FRACTION * cache_gb
         ):
             self.images.pop(next(iter(self.images)))
         if is_new:
--- a/src/cloverplank/shard/owned_shards.py
+++ b/src/cloverplank/shard/owned_shards.py
@@ -63,7 +63,7 @@
         self._limits = limits
         self._make_shard = make_shard
         self.shards: dict[Zone, Shard] = {}
-        self.renewed: dict[Zone, FencingToken] = {}  # tokens of own assignments that were renewed
+        self.renewed_tokens: dict[Zone, FencingToken] = {}  # tokens of own assignments that were renewed
         self.tasks = BackgroundTasks()
         self._former_owners = FormerOwners(
             zones,
@@ -94,7 +94,7 @@
             token = self._controller_lease.assigned_token(zone)
             shard = self.shards.get(zone)
             if shard is not None and token != shard.ownership.token:
-                if token is not None and self.renewed.get(zone) == token:
+                if token is not None and self.renewed_tokens.get(zone) == token:
                     shard.ownership.renew_token(token)
                 else:
                     log.info("shard %s: released, token was %d", zone, shard.ownership.token)
@@ -162,7 +162,7 @@
         except (TransactionRejectedError, QueueFullError):
             return
         if not result.conflicts:
-            self.renewed[shard.zone] = FencingToken(result.revision)
+            self.renewed_tokens[shard.zone] = FencingToken(result.revision)
             self.update()
 
     async def _release_if_isolated(self, shard: Shard) -> None:
--- a/src/cloverplank/shard/shard.py
+++ b/src/cloverplank/shard/shard.py
@@ -109,4 +109,4 @@
         self._prober.close()
 
     def _apply_command_response(self, machine: Machine, heartbeat: Heartbeat) -> None:
-        self.intake.learn(machine, heartbeat, in_response=False)
+        self.intake.apply_status(machine, heartbeat, is_heartbeat=False)
--- a/tests/shard/test_heartbeats.py
+++ b/tests/shard/test_heartbeats.py
@@ -77,10 +77,11 @@
     async def scenario(cluster: ServiceCluster) -> None:
         world, worker, intake = cluster.world, cluster.busy_worker, cluster.shard.intake
         learned: list[str] = []
-        real = intake.learn
-        intake.learn = lambda machine, *args, **options: (learned.append(machine.id), real(machine, *args, **options))[
-            1
-        ]
+        real = intake.apply_status
+        intake.apply_status = lambda machine, *args, **options: (
+            learned.append(machine.id),
+            real(machine, *args, **options),
+        )[1]
         before = cluster.shard.machines[worker.id].sequence
         await asyncio.sleep(4 * world.lease_s)
         assert cluster.shard.machines[worker.id].sequence > before + 10
--- a/tests/shard/test_machine.py
+++ b/tests/shard/test_machine.py
@@ -17,28 +17,28 @@
 
 def test_start_in_response_may_come_late_until_next_heartbeat(machine: Machine) -> None:
     """The response to a command request can overtake the response to a heartbeat; a heartbeat can't."""
-    machine.apply(heartbeat(1, 1), MonotonicTime(1.0), in_response=True)
+    machine.apply(heartbeat(1, 1), MonotonicTime(1.0), is_heartbeat=True)
     machine.started_in_response.add(TASK)
-    machine.apply(heartbeat(1, 2), MonotonicTime(1.1), in_response=False)
+    machine.apply(heartbeat(1, 2), MonotonicTime(1.1), is_heartbeat=False)
     assert machine.may_start_late(TASK)
-    machine.apply(heartbeat(1, 3), MonotonicTime(2.0), in_response=True)
+    machine.apply(heartbeat(1, 3), MonotonicTime(2.0), is_heartbeat=True)
     assert not machine.may_start_late(TASK)
 
 
 def test_unresolved_start_may_come_late_until_token_changes(machine: Machine) -> None:
-    machine.apply(heartbeat(1, 1), MonotonicTime(1.0), in_response=True)
+    machine.apply(heartbeat(1, 1), MonotonicTime(1.0), is_heartbeat=True)
     machine.unresolved[TASK] = UnresolvedStart(FencingToken(5), MonotonicTime(1.0))
-    machine.apply(heartbeat(1, 2), MonotonicTime(2.0), in_response=True)
+    machine.apply(heartbeat(1, 2), MonotonicTime(2.0), is_heartbeat=True)
     assert machine.may_start_late(TASK)
-    machine.apply(heartbeat(1, 3, token=6), MonotonicTime(3.0), in_response=True)
+    machine.apply(heartbeat(1, 3, token=6), MonotonicTime(3.0), is_heartbeat=True)
     assert not machine.may_start_late(TASK)
 
 
 def test_unresolved_start_may_come_late_until_incarnation_changes(machine: Machine) -> None:
-    machine.apply(heartbeat(1, 3, token=6), MonotonicTime(3.0), in_response=True)
+    machine.apply(heartbeat(1, 3, token=6), MonotonicTime(3.0), is_heartbeat=True)
     machine.unresolved[TASK] = UnresolvedStart(FencingToken(6), MonotonicTime(3.0))
     assert machine.may_start_late(TASK)
-    machine.apply(heartbeat(2, 4, token=6), MonotonicTime(4.0), in_response=True)
+    machine.apply(heartbeat(2, 4, token=6), MonotonicTime(4.0), is_heartbeat=True)
     assert not machine.may_start_late(TASK)
 
 
@@ -51,7 +51,7 @@
     ],
 )
 def test_outdated_heartbeat_is_not_newer(machine: Machine, incarnation: int, sequence: int, is_newer: bool) -> None:
-    machine.apply(heartbeat(2, 7), MonotonicTime(1.0), in_response=True)
+    machine.apply(heartbeat(2, 7), MonotonicTime(1.0), is_heartbeat=True)
     assert machine.is_newer(heartbeat(incarnation, sequence)) is is_newer
 
 
@@ -67,7 +67,7 @@
 def test_heartbeat_overtaken_by_command_response_is_no_duplicate(machine: Machine) -> None:
     """It is older than what is known, but a worker waits for its response."""
     machine.last_heartbeat = (1, 5)
-    machine.apply(heartbeat(1, 9), MonotonicTime(1.0), in_response=False)
+    machine.apply(heartbeat(1, 9), MonotonicTime(1.0), is_heartbeat=False)
     assert not machine.is_duplicate(heartbeat(1, 7))
     assert not machine.is_newer(heartbeat(1, 7))
 
