--- a/src/cloverplank/shard/__init__.py
+++ b/src/cloverplank/shard/__init__.py
@@ -1,1 +1,1 @@
-"""What the owner of a shard does: heartbeats, liveness, placement, preemption and task reconciliation."""
+"""Shard ownership: heartbeats, liveness, placement, preemption and task reconciliation."""
--- a/src/cloverplank/shard/heartbeat_intake.py
+++ b/src/cloverplank/shard/heartbeat_intake.py
@@ -121,7 +121,7 @@
             machine.confirm_contact()
         if machine.health is not Health.UP or not machine.contact_confirmed:
             self._update_health(machine, now)
-        self._outcomes.commit_exits(machine)
+        self._outcomes.stage_exits(machine)
         return True
 
     def _update_health(self, machine: Machine, now: MonotonicTime) -> None:
--- a/src/cloverplank/shard/liveness.py
+++ b/src/cloverplank/shard/liveness.py
@@ -68,7 +68,7 @@
         self._add_machines_with_tasks()
         if not state.may_start():
             return  # no change that results from the check could be committed
-        is_isolated = self._prober.hears_no_workers_since(MonotonicTime(now - PROBE_TIMEOUT_S))
+        is_isolated = self._prober.receives_no_heartbeats_since(MonotonicTime(now - PROBE_TIMEOUT_S))
         for machine in list(state.machines.values()):
             self._check_machine(machine, now, is_isolated=is_isolated)
         self._stops.drop_expired(now)
--- a/src/cloverplank/shard/owned_shards.py
+++ b/src/cloverplank/shard/owned_shards.py
@@ -1,4 +1,4 @@
-"""The shards assigned to this controller: acquired with an assignment, renewed under a new token, released."""
+"""Shards assigned to this controller: acquires them, renews their tokens, and releases them."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 log = logging.getLogger(__name__)
 
-MAX_GOSSIP_IMAGES = 12  # the most recently used, of each machine
-DECLINE_ASSIGNMENTS_S = 20.0  # a controller that heard no workers declines assignments for this long
-REINSTATE_DELAY_S = 0.1  # contact with the store must be later than a supersession by this much before it is undone
-FAILOVER_PATIENCE_S = 8.0  # a new owner that hears no workers for this long releases its shard
-# The same of an owner that has heard workers, in seconds and in heartbeat intervals.
-MIN_PATIENCE_S = 3.5
-PATIENCE_HEARTBEATS = 1.75
-MAX_CONCURRENT_FENCES = 24  # workers that are shown a new token at a time
-MIN_SILENT_MACHINES = 2  # fewer can all be silent by chance
+MAX_GOSSIP_IMAGES = 12  # the most recently used images of each machine are gossiped
+DECLINE_ASSIGNMENTS_S = 20.0  # a controller that received no heartbeats declines assignments for this long
+REINSTATE_DELAY_S = 0.1  # a supersession is undone only after contact with the store that is later by this much
+FAILOVER_ISOLATION_TIMEOUT_S = 8.0  # a new owner that receives no heartbeat for this long releases its shard
+# Timeout of an owner that has received heartbeats: the longer of a fixed time and a number of heartbeat intervals.
+MIN_ISOLATION_TIMEOUT_S = 3.5
+ISOLATION_TIMEOUT_HEARTBEATS = 1.75
+MAX_CONCURRENT_FENCES = 24  # workers to which a new token is sent at the same time
+MIN_SILENT_MACHINES = 2  # fewer machines may all be silent by chance
 
 
 class OwnedShards:
-    """Follows the assignments in the watch cache.
+    """Acquires and releases shards as assignments in the watch cache change.
 
     `make_shard`: builds the shard of a zone under a token.
     """
@@ -63,7 +63,7 @@
         self._limits = limits
         self._make_shard = make_shard
         self.shards: dict[Zone, Shard] = {}
-        self.renewed_tokens: dict[Zone, FencingToken] = {}  # tokens of own assignments that were renewed
+        self.renewed_tokens: dict[Zone, FencingToken] = {}  # tokens of own assignments that were committed again
         self.tasks = BackgroundTasks()
         self._former_owners = FormerOwners(
             zones,
@@ -79,7 +79,7 @@
         return {zone: shard.ownership.token for zone, shard in self.shards.items() if not shard.ownership.superseded}
 
     def machine_gossip(self) -> list[MachineGossip]:
-        """Return what gossip tells peers of the machines of the owned shards."""
+        """Return the status of the owned shards' machines that is gossiped to peers."""
         now = self._clock.monotonic()
         return [
             _machine_gossip(shard, machine, now)
@@ -89,7 +89,7 @@
         ]
 
     def update(self) -> None:
-        """Acquire shards that were assigned, and release those that are assigned no more."""
+        """Acquire newly assigned shards, and release those that are no longer assigned."""
         for zone in self._zones:
             token = self._controller_lease.assigned_token(zone)
             shard = self.shards.get(zone)
@@ -101,12 +101,12 @@
                     shard.close()
                     del self.shards[zone]
                     shard = None
-            # Without everything that former owners committed, their tasks would look as if nobody had placed them.
+            # Without all that former owners committed, the tasks that they placed would appear not to be placed.
             if shard is None and token is not None and self._watch_cache.revision >= token:
                 self._acquire(zone, token)
 
     def watch_former_owners(self) -> None:
-        """Find out when no former owner answers workers any more."""
+        """Mark the former owners of a shard as ended once none of them responds to workers any longer."""
         for zone, shard in self.shards.items():
             if not shard.ownership.former_owners_ended and self._former_owners.have_ended(zone):
                 shard.ownership.mark_former_owners_ended()
@@ -116,11 +116,11 @@
         shard = self.shards[zone] = self._make_shard(zone, token)
         for entry in self._registry.entries.values():
             if entry.zone == zone and entry.state != STATE_REQUESTED:
-                shard.adopt(entry.id, entry.addr, entry.type, spot=entry.spot)
+                shard.add_known_machine(entry.id, entry.addr, entry.type, spot=entry.spot)
         self.tasks.spawn(self._fence_workers(shard))
 
     async def _fence_workers(self, shard: Shard) -> None:
-        """Show the shard's token to every worker that can be reached, a few at a time."""
+        """Send the shard's token to every reachable worker, a limited number at a time."""
         semaphore = asyncio.Semaphore(MAX_CONCURRENT_FENCES)
 
         async def fence(machine: Machine) -> None:
@@ -128,15 +128,15 @@
                 if not machine.fenced and not shard.ownership.superseded:
                     await shard.task_reconciler.fence(machine)
 
-        # Those heard last come first: machines that are down take a time limit each.
-        heard_at = {entry.id: entry.heard_at or 0.0 for entry in self._registry.entries.values()}
-        machines = sorted(shard.machines.values(), key=lambda machine: -heard_at.get(machine.id, 0.0))
+        # Machines with the newest heartbeats come first, because each machine that is down takes a full time limit.
+        last_heartbeat_times = {entry.id: entry.heard_at or 0.0 for entry in self._registry.entries.values()}
+        machines = sorted(shard.machines.values(), key=lambda machine: -last_heartbeat_times.get(machine.id, 0.0))
         await asyncio.gather(*(fence(machine) for machine in machines), return_exceptions=True)
 
     async def reconcile(self, shard: Shard, *, peers_are_healthy: bool) -> None:
-        """Reinstate a shard, renew its token where that is wanted, or release it if it hears no workers.
+        """Reinstate a shard, renew its token if requested, or release the shard if it receives no heartbeats.
 
-        `peers_are_healthy`: some other controller could own the shard.
+        `peers_are_healthy`: whether another controller could own the shard.
         """
         if self._controller_lease.check() is not LeaseState.ACTIVE:
             return
@@ -151,7 +151,7 @@
             await self._release_if_isolated(shard)
 
     async def _renew_token(self, shard: Shard) -> None:
-        """Commit the assignment again, so that it gets a new revision."""
+        """Commit the assignment again, so that it gets a new revision, which is the new token."""
         lease = self._controller_lease.lease
         assert lease is not None
         key = keys.shard(shard.zone)
@@ -166,18 +166,18 @@
             self.update()
 
     async def _release_if_isolated(self, shard: Shard) -> None:
-        """Release a shard whose machines all have been silent for longer than this owner's patience."""
+        """Release a shard whose machines have all been silent for longer than the isolation timeout."""
         now = self._clock.monotonic()
         owned_since, last_heartbeat_at = shard.ownership.since, shard.state.last_heartbeat_at
         silent_s = now - max(last_heartbeat_at, owned_since)
-        # Workers find a new owner only after the former one has stopped answering them.
-        patience_s = FAILOVER_PATIENCE_S
+        # Workers find a new owner only after the former one has stopped responding to them.
+        timeout_s = FAILOVER_ISOLATION_TIMEOUT_S
         if last_heartbeat_at > owned_since:
-            patience_s = max(MIN_PATIENCE_S, PATIENCE_HEARTBEATS * self._limits.heartbeat_interval_s)
+            timeout_s = max(MIN_ISOLATION_TIMEOUT_S, ISOLATION_TIMEOUT_HEARTBEATS * self._limits.heartbeat_interval_s)
         expected = sum(1 for machine in shard.machines.values() if machine.health in (Health.UP, Health.SUSPECT))
-        if expected < MIN_SILENT_MACHINES or silent_s <= patience_s:
+        if expected < MIN_SILENT_MACHINES or silent_s <= timeout_s:
             return
-        log.info("shard %s: %d machines and not one heartbeat for %.1f s: releasing it", shard.zone, expected, silent_s)
+        log.info("shard %s: no heartbeat from %d machines for %.1f s: releasing it", shard.zone, expected, silent_s)
         self._controller_lease.declines_assignments_until = MonotonicTime(now + DECLINE_ASSIGNMENTS_S)
         await self._controller_lease.release_key(keys.shard(shard.zone))
 
--- a/src/cloverplank/shard/ownership.py
+++ b/src/cloverplank/shard/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of a shard: its fencing token, and what is known of former and later owners."""
+"""Ownership of a shard: its fencing token, and the known state of former and later owners."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 log = logging.getLogger(__name__)
 
-LEASE_DRIFT_FACTOR = 1.002  # a worker's lease as measured by another clock
-GRACE_MARGIN_S = 1.0  # added to a former owner's grace period and the lease of its workers
-FORMER_OWNER_LEASE_MARGIN_S = 0.5
-MAX_UNTRUSTED_WORKERS = 20_000  # a bound on memory
+LEASE_DRIFT_FACTOR = 1.002  # allows for a worker's lease being measured by another clock
+GRACE_MARGIN_S = 1.0  # added to the sum of a former owner's grace period and the lease of its workers
+FORMER_OWNER_LEASE_MARGIN_S = 0.5  # added to the lease of workers once all former owners have ended
+MAX_UNTRUSTED_WORKERS = 20_000  # bounds memory use
 
 
 class ShardOwnership:
-    """One assignment of a shard to this controller, and its renewals. All times are of the monotonic clock."""
+    """One assignment of a shard to this controller, with its renewals. All times are of the monotonic clock."""
 
     def __init__(self, zone: Zone, token: FencingToken, clock: Clock, limits: ShardLimits) -> None:
         self._clock = clock
         self._lease_s = limits.lease_s
         self.zone = zone
         self.token = token
-        self.own_tokens = {token}  # under which no other owner has sent commands
+        self.own_tokens = {token}  # no other owner has sent commands under these
         self.since = clock.monotonic()
-        # What a former owner may have answered until the end of its grace period, and then the lease of the worker.
+        # A former owner may respond to workers until the end of its grace period; a lease that it renewed ends later.
         self.unfenced_expiry_at = MonotonicTime(
             self.since + limits.grace_s + limits.lease_s * LEASE_DRIFT_FACTOR + GRACE_MARGIN_S
         )
@@ -39,21 +39,21 @@
         self.superseded = False
         self.superseded_by: MachineId | None = None
         self.superseded_at = self.since
-        self.untrusted_workers: set[str] = set()  # that have shown a token which was never assigned
+        self.untrusted_workers: set[str] = set()  # machines that have shown a token that was never assigned
 
     def conditions(self) -> list[Compare]:
-        """Return what a transaction compares so that it fails once the shard has another owner."""
+        """Return the comparisons that make a transaction fail once the shard has another owner."""
         return [Compare(keys.shard(self.zone), self.token)]
 
     def supersede(self, heartbeat: Heartbeat) -> NoReturn:
-        """Stop acting as the owner: a worker shows a higher token.
+        """Stop acting as the owner because a worker has shown a higher token.
 
         Raises:
             FencedError: always.
         """
         if not self.superseded:
             log.info(
-                "shard %s: machine %s has token %d, above token %d: superseded",
+                "shard %s: machine %s has token %d, higher than own token %d: superseded",
                 self.zone,
                 heartbeat.machine,
                 heartbeat.token,
@@ -67,7 +67,7 @@
         """Act as the owner again.
 
         Everything that was committed before a worker superseded this owner is known, and the shard is still assigned
-        to it: nobody was assigned the token which that worker showed.
+        to this owner, so the token that the worker showed was never assigned.
         """
         log.info("shard %s: the token of machine %s was never assigned: not superseded", self.zone, self.superseded_by)
         self.superseded = False
@@ -75,17 +75,17 @@
             self.untrusted_workers.add(self.superseded_by)
 
     def renew_token(self, token: FencingToken) -> None:
-        """Continue under a new token of this owner's own assignment: no other owner has answered in between."""
-        log.info("shard %s: token %d -> %d", self.zone, self.token, token)
+        """Continue under a new token of this owner's own assignment; no other owner has responded in between."""
+        log.info("shard %s: token renewed: %d -> %d", self.zone, self.token, token)
         self.token = token
         self.own_tokens.add(token)
         self.token_renewal_wanted = False
 
     def mark_former_owners_ended(self) -> None:
-        """Record that no former owner answers workers any more; only the first call has an effect.
+        """Record that no former owner responds to workers any longer; only the first call has an effect.
 
-        What they answered was answered before this moment, so their workers' leases expire no later than a lease
-        from now.
+        Their last responses were sent before this moment, so the leases that these renewed expire no later than one
+        lease duration from now.
         """
         if self.former_owners_ended:
             return
--- a/src/cloverplank/shard/placement.py
+++ b/src/cloverplank/shard/placement.py
@@ -1,4 +1,4 @@
-"""Placement inside a shard: tasks that the leader allocated to its zone are assigned to machines."""
+"""Placement within a shard: assigns tasks that the leader allocated to the shard's zone to machines."""
 
 from __future__ import annotations
 
@@ -20,31 +20,31 @@
 from cloverplank.shard.failures import FailureTracker
 from cloverplank.shard.preemption import Preemption, TurnoverRate, UnplacedTasks
 from cloverplank.shard.record_changes import RecordChanges
-from cloverplank.shard.recovery_pace import RecoveryPace
+from cloverplank.shard.recovery_throttle import RecoveryThrottle
 from cloverplank.shard.shard_types import CHECKPOINT_MARGIN_S, refs_of_run
 from cloverplank.shard.state import ShardState
 from cloverplank.shard.task_stops import TaskStops
 
 log = logging.getLogger(__name__)
 
-# Between two cycles that place arrays which aren't urgent, by the machine: among hundreds of machines a task ends at
-# every moment, and a transaction for each single one would delay those of urgent jobs.
+# Minimum time between cycles that place arrays that are not urgent, for each machine in the shard. With hundreds of
+# machines, tasks end all the time, and a transaction for every single one would delay those of urgent jobs.
 ARRAYS_INTERVAL_PER_MACHINE_S = 0.002
 MAX_ARRAYS_INTERVAL_S = 0.5
-MAX_PLACED_PER_CYCLE = 400  # tasks of one job
-MIN_FAILED_MACHINES_TO_RETRY = 3  # a job that failed on so many machines is tried on any
+MAX_PLACED_PER_CYCLE = 400  # tasks of each job
+MIN_FAILED_MACHINES_TO_RETRY = 3  # a job that failed on this many machines may use any machine
 
 
 class CycleCapacity(Struct, eq=False):
-    """Free capacity in one scheduling cycle."""
+    """Free capacity during one scheduling cycle."""
 
     total: CapacityIndex
-    unreserved: CapacityIndex  # less the headroom for classes of jobs that should start at once
+    unreserved: CapacityIndex  # the total less the headroom for job classes that should start at once
     headroom: Headroom
 
 
 class PlacementCycle:
-    """Places the jobs of one shard, cycle by cycle."""
+    """Places the jobs of one shard in each scheduling cycle."""
 
     def __init__(
         self,
@@ -62,20 +62,20 @@
         self._failures = failures
         self._stops = stops
         self._turnover = turnover
-        self._pace: RecoveryPace | None = None  # in this cycle
+        self._throttle: RecoveryThrottle | None = None  # set while the zone is recovering
         self._arrays_placed_at = NEVER
         self.replicas_lack_capacity = False  # as of the last cycle
 
     def run(self, queued_jobs: list[QueuedJob], headroom: Headroom) -> None:
-        """Place what the leader allocated to this zone, in order, and preempt for what lacks capacity."""
+        """Place tasks that the leader allocated to this zone, in order, and preempt for those that lack capacity."""
         state = self._state
         now = state.clock.monotonic()
         jobs = self._jobs_to_place(queued_jobs, now)
         self.replicas_lack_capacity = False
         is_recovering = state.plan.health(state.zone) is ZoneHealth.RECOVERING
-        self._pace = RecoveryPace(state) if is_recovering else None
+        self._throttle = RecoveryThrottle(state) if is_recovering else None
         if not jobs:
-            return  # most cycles: the machines are not indexed for nothing
+            return  # true of most cycles, which then do not index the machines
         total = self._capacity.index(min(queued_job.record.spec.cpus for queued_job, _ in jobs))
         unreserved = headroom.reserve(total, state.zone, state.clock.wall_ms())
         capacity = CycleCapacity(total, unreserved, headroom)
@@ -83,8 +83,8 @@
         for queued_job, view in jobs:
             try:
                 count = self._place_job(view, queued_job, capacity, now)
-            except Exception:  # a job that meets a software fault must not keep the others waiting
-                log.exception("job %s can't be placed", view.id)
+            except Exception:  # a software fault that one job triggers must not block the others
+                log.exception("placement of job %s in zone %s failed", view.id, state.zone)
                 continue
             if count > 0:
                 unplaced.append(UnplacedTasks(queued_job, count))
@@ -93,7 +93,7 @@
         preemption.run(unplaced, headroom.serves)
 
     def _jobs_to_place(self, queued_jobs: list[QueuedJob], now: MonotonicTime) -> list[tuple[QueuedJob, CachedJob]]:
-        """Return the jobs with more tasks allocated to this zone than placed there."""
+        """Return the jobs with more tasks allocated to this zone than placed in it."""
         state = self._state
         interval_s = min(MAX_ARRAYS_INTERVAL_S, ARRAYS_INTERVAL_PER_MACHINE_S * len(state.machines))
         with_arrays = now - self._arrays_placed_at >= interval_s
@@ -119,19 +119,19 @@
         return jobs
 
     def _place_job(self, view: CachedJob, queued_job: QueuedJob, capacity: CycleCapacity, now: MonotonicTime) -> int:
-        """Place as many tasks of a job as fit, and return how many lack capacity."""
+        """Place as many tasks of a job as fit; return how many lack capacity."""
         zone = self._state.zone
         record, spec = queued_job.record, queued_job.record.spec
         wanted = min(record.allocation.get(zone, 0) - record.placed(zone), record.missing_count())
         if wanted <= 0 or self._failures.is_backing_off(record.id, now) or view.has_pending(Decision.PLACEMENT):
             return 0
         if spec.gang and (record.runs or wanted < record.missing_count()):
-            self._stop_gang(view)  # what is left of it stops, then it starts again whole
+            self._stop_gang(view)  # the remaining tasks are stopped before the gang starts again as a whole
             return 0
         max_runs = self._state.limits.size_limits.remaining_runs(record)
         if max_runs <= 0:
-            return 0  # the record is as large as it may get; the job goes on as tasks end
-        max_starts = wanted if self._pace is None else self._pace.allowed_starts(wanted, gang=spec.gang)
+            return 0  # the record has reached its size limit; the job continues as tasks end
+        max_starts = wanted if self._throttle is None else self._throttle.allowed_starts(wanted, gang=spec.gang)
         if max_starts <= 0:
             return wanted
         usable, other = capacity.unreserved, capacity.total
@@ -144,7 +144,7 @@
             record, zone, max_placed, urgent=queued_job.urgent, allowed=self._machine_filter(queued_job)
         )
         if len(placements) > max_runs and not spec.gang:
-            # The largest runs: a record over the size limit would be rejected whole, again and again.
+            # Keep the largest runs: a record above the size limit would be rejected as a whole again and again.
             placements = sorted(placements, key=lambda placement: -placement.count)[:max_runs]
         for placement in placements:
             other.allocate(placement.machine, spec, placement.count)
@@ -154,8 +154,8 @@
         """Stage the placements of a job, and return how many tasks they place."""
         record = queued_job.record
         count = sum(placement.count for placement in placements)
-        if self._pace is not None:
-            self._pace.record_starts(count)
+        if self._throttle is not None:
+            self._throttle.record_starts(count)
         assignments = " ".join(f"{placement.machine}x{placement.count}" for placement in placements)
         log.debug("placement: job %s: %s", record.id, assignments)
         change = records.place(placements, record.next_attempt)
@@ -163,17 +163,17 @@
         return count
 
     def _machine_filter(self, queued_job: QueuedJob) -> Callable[[FreeCapacity], bool] | None:
-        """Return which machines a job may use among those with capacity for it; None: all."""
-        pace = self._pace
+        """Return a filter for the machines with capacity that a job may use, or None if it may use all of them."""
+        throttle = self._throttle
         image = queued_job.record.spec.image
         failed_on = self._failures.machines_failed_on(queued_job.record.id)
         avoided = failed_on if len(failed_on) < MIN_FAILED_MACHINES_TO_RETRY else ()
-        if pace is not None:
-            return lambda capacity: capacity.machine not in avoided and pace.may_use(capacity, image)
+        if throttle is not None:
+            return lambda capacity: capacity.machine not in avoided and throttle.may_use(capacity, image)
         return (lambda capacity: capacity.machine not in avoided) if avoided else None
 
     def _stop_gang(self, view: CachedJob) -> None:
-        """Stop the other tasks of a gang that lost one, after a checkpoint."""
+        """Stop the remaining tasks of a gang that lost a member, after a checkpoint."""
         for run in view.record.runs:
             machine = self._state.machines.get(MachineId(run.machine))
             if machine is not None:
--- a/src/cloverplank/shard/preemption.py
+++ b/src/cloverplank/shard/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: whose tasks are stopped so that others can be placed."""
+"""Preemption: stops tasks of some jobs so that tasks of others can be placed."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 from cloverplank.shard.task_stops import TaskStops
 from cloverplank.wire.users import JobSpec
 
-PENDING_STOP_TTL_S = 15.0  # a stop request older than this frees no capacity that is counted on
-IMMINENT_S = 1.0  # capacity that arrays free by themselves within this time is waited for
+PENDING_STOP_TTL_S = 15.0  # capacity that an older stop request should free is no longer expected
+IMMINENT_CAPACITY_S = 1.0  # jobs wait for capacity that ending array tasks will free within this time
 TURNOVER_WINDOW_S = 5
 PREEMPTIBLE_STATES = (TaskState.RUNNING, TaskState.PULLING)
 
 
 class TurnoverRate:
-    """Cpus that arrays free by themselves, a second, over the last seconds.
+    """Rate at which ending array tasks free cpus, in cpus per second, averaged over the last seconds.
 
-    Among hundreds of machines tasks end all the time; preempting others for capacity that becomes free by itself at
-    once only loses their work.
+    With hundreds of machines, tasks end all the time. Preempting others for capacity that is about to become free
+    anyway only loses their work.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._freed: dict[int, float] = {}  # by second
+        self._freed: dict[int, float] = {}  # cpus by second of the clock
 
-    def freed(self, cpus: float) -> None:
+    def record_freed(self, cpus: float) -> None:
         """Record that a task of an array has ended."""
         second = int(self._clock.monotonic())
         self._freed[second] = self._freed.get(second, 0.0) + cpus
@@ -42,7 +42,7 @@
             self._freed = {at: amount for at, amount in self._freed.items() if at >= second - TURNOVER_WINDOW_S}
 
     def rate(self) -> float:
-        """Return the cpus freed a second, on average over the last whole seconds."""
+        """Return the cpus freed per second, averaged over the last whole seconds."""
         now = int(self._clock.monotonic())
         in_window = (amount for at, amount in self._freed.items() if now - TURNOVER_WINDOW_S <= at < now)
         return sum(in_window) / TURNOVER_WINDOW_S
@@ -66,25 +66,28 @@
 
 
 class Resources(Struct):
-    """Amounts of what tasks need."""
+    """Amounts of the resources that tasks need."""
 
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
 
     def add(self, spec: JobSpec, tasks: int) -> None:
-        """Add what so many tasks need; a negative number of tasks subtracts."""
+        """Add the needs of the given number of tasks; a negative number subtracts."""
         self.cpus += tasks * spec.cpus
         self.gpus += tasks * spec.gpus
         self.memory_gb += tasks * spec.memory_gb
 
     def copy(self) -> Resources:
-        """Return a copy that can be changed by itself."""
+        """Return an independent copy."""
         return Resources(self.cpus, self.gpus, self.memory_gb)
 
 
 class Preemption:
-    """Preempts in one scheduling cycle: for higher ranks, and for guaranteed quotas from what exceeds them."""
+    """Preempts tasks in one scheduling cycle.
+
+    A job preempts tasks of lower rank; within its team's guaranteed quota, also tasks of other teams beyond theirs.
+    """
 
     def __init__(
         self,
@@ -108,17 +111,17 @@
         self._teams_above_quota = {queued_job.record.spec.team for queued_job in running if not queued_job.guaranteed}
         self._queued_jobs = {queued_job.record.id: queued_job for queued_job in queued_jobs}
         self._victims: dict[MachineId, list[Victim]] = {}
-        self._pending: dict[MachineId, Resources] = {}  # what stop requests will free
+        self._pending: dict[MachineId, Resources] = {}  # resources that stop requests will free
 
     def run(self, unplaced: list[UnplacedTasks], starts_at_once: Callable[[JobSpec], bool]) -> None:
         """Preempt for tasks without capacity, in order.
 
-        `starts_at_once`: returns whether a job should start sooner than capacity becomes free by itself.
+        `starts_at_once`: returns whether a job should not wait for capacity that ending tasks free.
         """
         candidates = [tasks for tasks in unplaced if self._has_possible_victims(tasks.queued_job)]
         if not candidates:
             return
-        imminent_cpus = self._turnover.rate() * IMMINENT_S
+        imminent_cpus = self._turnover.rate() * IMMINENT_CAPACITY_S
         self._add_pending_stops()
         capacities = self._capacity.index().by_name
         for tasks in candidates:
@@ -130,12 +133,15 @@
                 self._preempt_for(tasks, capacities)
 
     def _has_possible_victims(self, queued_job: QueuedJob) -> bool:
-        """Return False for most jobs under a backlog, for which no machine has to be searched then."""
+        """Return whether some task may be preempted for the job.
+
+        Under a backlog this is False for most jobs, and no machine has to be searched for them.
+        """
         other_teams = self._teams_above_quota - {queued_job.record.spec.team}
         return self._lowest_rank > queued_job.rank or (queued_job.guaranteed and bool(other_teams))
 
     def _add_pending_stops(self) -> None:
-        """Count the capacity that stop requests already sent will free; it is used first."""
+        """Add the capacity that stop requests already sent will free, so that it is used first."""
         state = self._state
         now = state.clock.monotonic()
         for ref, stop in state.stops.items():
@@ -164,9 +170,10 @@
                 missing -= self._preempt_on(machine, tasks.queued_job, missing, capacity)
 
     def _victims_on(self, machine: Machine) -> list[Victim]:
-        """Return the tasks that may be preempted for some job, in the order in which they are.
+        """Return the tasks on a machine that may be preempted for some job, in the order of preemption.
 
-        Replicas are not preempted for arrays: a guaranteed quota is met from them last, by scaling out.
+        Replicas are not preempted for arrays: instead of taking their capacity, a guaranteed quota is met by scaling
+        out, as the last resort.
         """
         state = self._state
         now = state.clock.wall_ms()
@@ -188,7 +195,7 @@
         return victims
 
     def _preempt_on(self, machine: Machine, queued_job: QueuedJob, missing: int, capacity: FreeCapacity) -> int:
-        """Stop the fewest tasks for which most of the missing ones fit; return how many do."""
+        """Stop the fewest tasks that let as many of the missing tasks fit as possible; return how many fit."""
         spec = queued_job.record.spec
         freed = self._pending.setdefault(machine.id, Resources()).copy()
         best_fit, best_freed = min(missing, _fit_count(spec, capacity, freed)), freed.copy()
@@ -205,8 +212,8 @@
             if fit > best_fit:
                 best_fit, best_chosen, best_freed = fit, len(chosen), freed.copy()
         for victim in chosen[:best_chosen]:
-            other = victim.record.spec
-            grace_s = other.save_s + CHECKPOINT_MARGIN_S if other.checkpoint_s > 0 else 0.0
+            victim_spec = victim.record.spec
+            grace_s = victim_spec.save_s + CHECKPOINT_MARGIN_S if victim_spec.checkpoint_s > 0 else 0.0
             reason = f"preempted by {queued_job.record.id}"
             self._stops.stop(victim.ref, victim.machine, grace_s=grace_s, reason=reason)
         if best_fit:
@@ -216,7 +223,7 @@
 
 
 def _may_preempt(queued_job: QueuedJob, victim: Victim) -> bool:
-    """Return whether a job goes before the victim: by rank, or by its team's guaranteed quota."""
+    """Return whether a job takes precedence over the victim, by rank or by its team's guaranteed quota."""
     is_of_other_team = victim.record.spec.team != queued_job.record.spec.team
     return victim.rank > queued_job.rank or (queued_job.guaranteed and not victim.guaranteed and is_of_other_team)
 
--- a/src/cloverplank/shard/record_changes.py
+++ b/src/cloverplank/shard/record_changes.py
@@ -1,4 +1,4 @@
-"""Changes of job records that a shard owner makes."""
+"""Changes to job records that a shard owner makes."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
         delay_s: float = 0.0,
         decision: Decision | None = None,
     ) -> None:
-        """Queue a change of a job's record, to be committed after `delay_s`.
+        """Queue a change to a job's record, to be committed after `delay_s`.
 
-        `decision`: the one that it carries out, if a job may have only one such change pending.
+        `decision`: the decision that the change carries out, if a job may have only one such change pending.
         """
         state = self._state
         ready_at = MonotonicTime(state.clock.monotonic() + delay_s)
--- a/src/cloverplank/shard/shard.py
+++ b/src/cloverplank/shard/shard.py
@@ -1,4 +1,4 @@
-"""A shard: one zone's machines, under one assignment to this controller."""
+"""A shard: the machines of one zone under one assignment to this controller."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Shard:
-    """What the owner of a zone's machines does. Ends with the assignment; a new assignment makes a new `Shard`.
+    """Manages the machines of one zone until the assignment ends; a new assignment creates a new `Shard`.
 
     `may_start`: returns whether this controller's lease lets it start tasks and commit changes.
     """
@@ -42,7 +42,7 @@
         self.task_reconciler = TaskReconciler(state, services.http, services.meter, self._apply_command_response)
         changes = RecordChanges(state, services.queue)
         self._evictions = Evictions(state, changes)
-        stops = TaskStops(state, self.task_reconciler.send_due)
+        stops = TaskStops(state, self.task_reconciler.send_due_commands)
         turnover = TurnoverRate(state.clock)
         capacity = ShardCapacity(state, self.failures.is_faulty)
         self._lost_machines = LostMachines(state)
@@ -61,13 +61,13 @@
         self.intake = HeartbeatIntake(
             state,
             task_reconciler=self.task_reconciler,
-            outcomes=TaskOutcomes(state, changes, self.failures, turnover.freed),
+            outcomes=TaskOutcomes(state, changes, self.failures, turnover.record_freed),
             start_probe=self._prober.start_probe,
         )
-        self.on_heartbeat = self.intake.on_heartbeat  # bound here: heartbeats pay for no further call
+        self.on_heartbeat = self.intake.on_heartbeat  # bound here to save each heartbeat another call
 
-    def adopt(self, name: str, addr: str, type_name: str, *, spot: bool) -> None:
-        """Add a machine known from a peer or the cloud, so that it can be reached before its first heartbeat."""
+    def add_known_machine(self, name: str, addr: str, type_name: str, *, spot: bool) -> None:
+        """Add a machine known from a peer or the cloud, so that it can be sent requests before its first heartbeat."""
         if MachineId(name) not in self.machines and len(self.machines) >= MAX_MACHINES:
             return
         machine = self.state.get_or_add_machine(name)
@@ -75,32 +75,32 @@
             machine.addr, machine.type, machine.spot = addr, type_name, spot
 
     def machine_terminated(self, name: str) -> None:
-        """Evict and forget a machine whose termination the cloud has confirmed: its tasks have ended."""
+        """Evict and remove a machine whose termination the cloud has confirmed, which proves that its tasks ended."""
         self._evictions.evict(MachineId(name), "terminated")
         self.machines.pop(MachineId(name), None)
 
     def check_machines(self) -> None:
-        """Judge which machines are up, and evict those that are not."""
+        """Update the health of the machines, and evict those that are down."""
         self._liveness.check()
 
     def place(self, queued_jobs: list[QueuedJob], headroom: Headroom, plan: ZonePlan) -> None:
-        """Place what is allocated to this zone, in order, at the pace that the plan allows."""
+        """Place the tasks allocated to this zone, in order, at the rate that the plan allows."""
         self.state.plan = plan
         if self.state.may_start() and not self.ownership.superseded:
             self._placement.run(queued_jobs, headroom)
 
     def consolidate(self, headroom: Headroom) -> None:
-        """Move replicas away from machines that can be scaled in then."""
+        """Move replicas off machines, so that these can be scaled in."""
         if self.state.may_start() and not self.ownership.superseded:
-            lacking = self._placement.replicas_lack_capacity
-            self._consolidation.run(headroom, replicas_lack_capacity=lacking)
+            capacity_lacking = self._placement.replicas_lack_capacity
+            self._consolidation.run(headroom, replicas_lack_capacity=capacity_lacking)
 
     def settle_evictions(self) -> None:
-        """Drop entries of evictions that are over."""
+        """Remove the entries of completed evictions."""
         self._evictions.remove_completed_entries()
 
     def take_newly_lost(self) -> bool:
-        """Return whether a machine was lost since the last call."""
+        """Return whether a machine was marked as lost since the last call."""
         return self._lost_machines.take_changed()
 
     def close(self) -> None:
--- a/src/cloverplank/shard/shard_types.py
+++ b/src/cloverplank/shard/shard_types.py
@@ -1,4 +1,4 @@
-"""Small types that the parts of a shard share."""
+"""Types, constants and helpers shared by the modules of a shard."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from cloverplank.jobs.records import JobRecord, Run
 from cloverplank.jobs.size_limits import RecordSizeLimits
 
-MAX_UNACKNOWLEDGED = 3  # heartbeats answered in a row without one of them carrying the owner's token
-# Kinds of one-way partition, as log lines and stop reasons name them.
-INBOUND_PARTITION = "inbound partition"  # heartbeats arrive, responses and commands don't
-OUTBOUND_PARTITION = "outbound partition"  # commands arrive, heartbeats don't
-CHECKPOINT_MARGIN_S = 1.0  # added to the time that a checkpoint takes
+MAX_UNACKNOWLEDGED = 3  # consecutive heartbeats answered although none carried the owner's token
+# Kinds of one-way partition, as named in log lines and stop reasons.
+INBOUND_PARTITION = "inbound partition"  # heartbeats arrive, but responses and commands do not reach the machine
+OUTBOUND_PARTITION = "outbound partition"  # commands reach the machine, but its heartbeats do not arrive
+CHECKPOINT_MARGIN_S = 1.0  # added to the time that a job needs to save a checkpoint
 
 
 class TaskState(StrEnum):
-    """States of a task in heartbeats that the shard owner acts on."""
+    """Task states in heartbeats that the shard owner acts on."""
 
     PULLING = "pulling"
     RUNNING = "running"
@@ -28,14 +28,14 @@
 
 
 class ExitReason(StrEnum):
-    """Reasons for the end of a task that the shard owner acts on."""
+    """Reasons for the exit of a task that the shard owner acts on."""
 
     DONE = "done"
     ERROR = "error"
 
 
 class ShardLimits(Struct, frozen=True):
-    """Times and amounts that a shard owner keeps to, from the settings."""
+    """Time limits and other bounds of a shard owner, taken from the settings."""
 
     heartbeat_interval_s: float
     lease_s: float
@@ -49,8 +49,8 @@
     probe_after_s: float
 
 
-class Stop(Struct, frozen=True):
-    """A request to stop a task, until the task has ended."""
+class StopRequest(Struct, frozen=True):
+    """A request to stop a task, which is kept until the task has ended."""
 
     machine: MachineId
     grace_s: float
--- a/src/cloverplank/shard/state.py
+++ b/src/cloverplank/shard/state.py
@@ -1,4 +1,4 @@
-"""State of one shard that its parts share, and what all shards of a controller are built from."""
+"""State shared by the modules of one shard, and the dependencies shared by all shards of a controller."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 from cloverplank.net.messages import Http
 from cloverplank.shard.machine import Machine
 from cloverplank.shard.ownership import ShardOwnership
-from cloverplank.shard.shard_types import ShardLimits, Stop, TaskState
+from cloverplank.shard.shard_types import ShardLimits, StopRequest, TaskState
 from cloverplank.wire.cloud import MachineType
 from cloverplank.zones.plan import ClassOrder, PlanLimits, StartRateLimiter, ZonePlan
 
-MAX_MACHINES = 20_000  # in one zone: a bound on memory
-OWNER_SEARCH_S = 4.0  # workers find a new owner within this time: a time limit of theirs
-UNDISTURBED_PLAN = ZonePlan({}, PlanLimits(0, 0.0, 0), ClassOrder(), WallTimeMs(0), lambda record, now: None)
+MAX_MACHINES = 20_000  # per zone; bounds memory use
+OWNER_DISCOVERY_S = 4.0  # time limit within which workers find a new owner
+# Treats all zones as healthy; replaced by the first call of `Shard.place`.
+INITIAL_PLAN = ZonePlan({}, PlanLimits(0, 0.0, 0), ClassOrder(), WallTimeMs(0), lambda record, now: None)
 
 
 @dataclass(frozen=True, kw_only=True)
 class ShardServices:
-    """What all shards of a controller share.
+    """Dependencies shared by all shards of a controller.
 
-    `machine_types`: returns the machine types by name. `request_cycle`: asks for a scheduling cycle soon.
+    `machine_types`: returns the machine types by name. `request_cycle`: requests a scheduling cycle soon.
     """
 
     clock: Clock
@@ -57,17 +58,16 @@
         self.may_start = may_start
         self.ownership = ShardOwnership(zone, token, services.clock, services.limits)
         self.machines: dict[MachineId, Machine] = {}
-        self.stops: dict[TaskRef, Stop] = {}
-        self.emptying: dict[
-            MachineId, MonotonicTime
-        ] = {}  # machines that consolidation empties, with the time of the last move
-        self.last_heartbeat_at = self.ownership.since  # the newest one of any machine
-        self.running_arrays = 0  # job arrays with tasks here, as of the last scheduling cycle that counted them
-        self.plan = UNDISTURBED_PLAN
-        self.start_pace = StartRateLimiter(self.ownership.since)
+        self.stops: dict[TaskRef, StopRequest] = {}
+        # Machines that consolidation is emptying, with the time of the last move.
+        self.emptying: dict[MachineId, MonotonicTime] = {}
+        self.last_heartbeat_at = self.ownership.since  # newest heartbeat of any machine
+        self.running_arrays = 0  # job arrays with tasks in this zone, as of the last scheduling cycle that counted them
+        self.plan = INITIAL_PLAN
+        self.start_rate_limiter = StartRateLimiter(self.ownership.since)
 
     def get_or_add_machine(self, name: str) -> Machine:
-        """Return the machine of that name, which is added if it is not known yet."""
+        """Return the machine of that name, which is added if it is unknown."""
         machine = self.machines.get(MachineId(name))
         if machine is None:
             now = self.clock.monotonic()
@@ -80,9 +80,9 @@
         return machine.tasks_expire_at(self.limits.lease_s, self.ownership.unfenced_expiry_at)
 
     def heartbeat_age_s(self, machine: Machine, now: MonotonicTime) -> float:
-        """Return for how long no heartbeat has come, beyond the time that workers have to find a new owner."""
+        """Return the seconds since the last heartbeat, excluding the time that workers have to find a new owner."""
         return now - max(
-            machine.last_heartbeat_at, machine.added_at, MonotonicTime(self.ownership.since + OWNER_SEARCH_S)
+            machine.last_heartbeat_at, machine.added_at, MonotonicTime(self.ownership.since + OWNER_DISCOVERY_S)
         )
 
     def is_running(self, ref: TaskRef, name: str) -> bool:
--- a/src/cloverplank/shard/task_outcomes.py
+++ b/src/cloverplank/shard/task_outcomes.py
@@ -1,4 +1,4 @@
-"""Ends of tasks: what heartbeats show is committed before workers may forget it."""
+"""Task outcomes: exits that heartbeats show are committed before workers may forget them."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
 
 log = logging.getLogger(__name__)
 
-# Completions of one job are gathered for this long, or for longer where so many arrays run that their transactions
-# would take more than a fraction of the writes a second. The capacity that they free is free at once.
-MIN_MERGE_S = 0.25
-MAX_MERGE_S = 2.5
-EXIT_TRANSACTIONS_FRACTION = 0.2
+# Completed tasks of one job are collected for one transaction during at least this time, and longer if so many arrays
+# run that their transactions would exceed a fraction of the write rate. The capacity that they free is available at
+# once.
+MIN_MERGE_INTERVAL_S = 0.25
+MAX_MERGE_INTERVAL_S = 2.5
+MAX_EXIT_WRITES_FRACTION = 0.2
 
 
 class TaskOutcomes:
-    """Commits the ends of a shard's tasks.
+    """Commits the exits of a shard's tasks.
 
-    `cpus_freed`: is told how many cpus a task of an array has freed.
+    `record_freed_cpus`: is called with the number of cpus that an array task has freed.
     """
 
     def __init__(
@@ -37,15 +38,15 @@
         state: ShardState,
         changes: RecordChanges,
         failures: FailureTracker,
-        cpus_freed: Callable[[float], None],
+        record_freed_cpus: Callable[[float], None],
     ) -> None:
         self._state = state
         self._changes = changes
         self._failures = failures
-        self._cpus_freed = cpus_freed
+        self._record_freed_cpus = record_freed_cpus
 
-    def commit_exits(self, machine: Machine) -> None:
-        """Stage the ends of tasks that the machine's newest heartbeat shows."""
+    def stage_exits(self, machine: Machine) -> None:
+        """Stage the exits of tasks that the machine's newest heartbeat shows."""
         state = self._state
         exits: dict[JobId, list[TaskExit]] = {}
         for ref, task in machine.tasks.items():
@@ -71,7 +72,7 @@
 
     def _record_exit(self, machine: Machine, ref: TaskRef, task: TaskStatus, view: CachedJob) -> TaskExit:
         if not view.record.spec.service:
-            self._cpus_freed(view.record.spec.cpus)
+            self._record_freed_cpus(view.record.spec.cpus)
         if task.reason == ExitReason.ERROR:
             self._failures.record(machine, ref.job)
         self._state.stops.pop(ref, None)
@@ -79,7 +80,7 @@
         return TaskExit(ref.index, ref.attempt, machine.id, task.reason == ExitReason.DONE)
 
     def _add_absent_tasks(self, machine: Machine, exits: dict[JobId, list[TaskExit]]) -> None:
-        """Add tasks of cancelled jobs that are placed on the machine and absent there: they have ended."""
+        """Add tasks of cancelled jobs that are placed on the machine but absent from it, and so have ended."""
         for view in self._state.store.jobs_on(machine.id):
             if view.staged.phase is Phase.OPEN:
                 continue
@@ -89,15 +90,15 @@
                     exits.setdefault(view.id, []).append(task_exit)
 
     def _stage(self, view: CachedJob, exits: list[TaskExit]) -> None:
-        """Stage the exits of one job: at once if some task has to run again or the job is over, else merged."""
+        """Stage the exits of one job: at once if a task must run again or the job is complete, otherwise merged."""
         done_count = sum(1 for task_exit in exits if task_exit.done)
         is_last = done_count >= view.staged.missing_count() + view.staged.placed()
         change = records.exit_tasks(exits)
         if is_last or done_count < len(exits):
             self._changes.stage(view, change, TransactionPriority.PLACE)
         else:
-            self._changes.stage(view, change, TransactionPriority.DONE, delay_s=self._merge_s())
+            self._changes.stage(view, change, TransactionPriority.DONE, delay_s=self._merge_interval_s())
 
-    def _merge_s(self) -> float:
-        max_exits_per_s = EXIT_TRANSACTIONS_FRACTION * self._state.limits.write_rps
-        return min(MAX_MERGE_S, max(MIN_MERGE_S, self._state.running_arrays / max_exits_per_s))
+    def _merge_interval_s(self) -> float:
+        max_exits_per_s = MAX_EXIT_WRITES_FRACTION * self._state.limits.write_rps
+        return min(MAX_MERGE_INTERVAL_S, max(MIN_MERGE_INTERVAL_S, self._state.running_arrays / max_exits_per_s))
--- a/src/cloverplank/shard/task_reconciler.py
+++ b/src/cloverplank/shard/task_reconciler.py
@@ -1,4 +1,4 @@
-"""Task reconciliation: what each worker should do next, and command requests that tell it at once."""
+"""Task reconciliation: determines the commands for each worker, and sends them in command requests."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 
 log = logging.getLogger(__name__)
 
-MAX_COMMANDS = 250  # keeps a response well under 64 KiB
-# Acknowledgements of ended tasks wait on a machine for other commands, up to so many: each change there is one more
-# heartbeat.
+MAX_COMMANDS = 250  # per message; keeps a response well under 64 KiB
+# Acknowledgements of ended tasks are deferred until other commands are sent to the machine, up to this number, because
+# each change on a machine causes one more heartbeat.
 MAX_DEFERRED_ACKS = 8
 COMMAND_TIMEOUT_S = 2.0
-PROBE_TIMEOUT_S = 1.0  # of a request without commands
+PROBE_TIMEOUT_S = 1.0  # time limit of a request without commands
 STATUSES_WITH_HEARTBEAT = (HTTPStatus.OK, HTTPStatus.CONFLICT)
-FAILED_SEND_BACKOFF_S = 2.0  # without commands to a worker after a request that failed
+FAILED_SEND_BACKOFF_S = 2.0  # time without commands to a worker after a failed request
 
 
 class SendOutcome(Enum):
-    """What became of a command request."""
+    """Outcome of a command request."""
 
     ACCEPTED = auto()
-    FAILED = auto()  # rejected, or without a response
-    NOT_SENT = auto()  # no free socket on this side: says nothing of the machine
+    FAILED = auto()  # the request was rejected or got no response
+    NOT_SENT = auto()  # no socket was free on this side, which says nothing about the machine
 
 
 def started_tasks(commands: list[Command]) -> list[TaskRef]:
@@ -55,8 +55,8 @@
 class TaskReconciler:
     """Compares the committed records with the newest heartbeats of one shard's machines, and sends commands.
 
-    Level-triggered: commands are computed anew each time, so a lost response, a restart or a failover need no case of
-    their own. `apply_response`: takes in the status with which a worker responds to a command request.
+    Reconciliation is level-triggered: commands are computed anew each time, so a lost response, a restart or a failover
+    needs no special handling. `apply_response`: applies the status in a worker's response to a command request.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self._tasks = BackgroundTasks()
 
     def due(self, machine: Machine) -> tuple[list[Command], list[Command]]:
-        """Return the commands that a worker should carry out now, and acknowledgements, which can wait.
+        """Return the commands that a worker should execute now, and acknowledgements, which can wait.
 
         Both follow from the committed records and the machine's newest heartbeat.
         """
@@ -80,7 +80,7 @@
             view = store.get(ref.job)
             is_placed = view is not None and view.record.run_of(ref, machine.id) is not None
             if task.state == TaskState.ENDED:
-                # Not while a start command may still arrive: the worker would start the task again.
+                # No acknowledgement while a start command may still arrive: the worker would start the task again.
                 if not is_placed and not machine.may_start_late(ref):
                     acknowledgements.append(Command("reap", ref.name, ref.attempt))
             elif not is_placed or (view is not None and not store.should_run(view)):
@@ -98,7 +98,7 @@
             if not store.should_run(view) or view.staged.phase is not Phase.OPEN:
                 continue
             for ref in placed_refs(view.record, machine.id):
-                # Both records: a task that is about to leave the machine must not be started there again.
+                # Both records must agree: a task that is about to leave the machine must not be started there again.
                 if ref not in machine.tasks and view.staged.run_of(ref, machine.id) is not None:
                     commands.append(Command("start", ref.name, ref.attempt))
                     if ref in stops:
@@ -106,7 +106,7 @@
         return commands
 
     def job_changed(self, view: CachedJob) -> None:
-        """Send commands at once to machines that have something to do after a change of the job's record."""
+        """Send commands at once to the machines that a change of the job's record affects."""
         for run in view.record.runs:
             machine = self._state.machines.get(MachineId(run.machine))
             if machine is not None and machine.health is Health.UP:
@@ -114,10 +114,10 @@
                 for index in numbers(run.tasks):
                     ref = TaskRef(view.id, index, run.attempt)  # type: ignore[arg-type]
                     if is_cancelled != (ref not in machine.tasks):
-                        self.send_due(machine)
+                        self.send_due_commands(machine)
                         break
 
-    def send_due(self, machine: Machine) -> None:
+    def send_due_commands(self, machine: Machine) -> None:
         """Send the commands that are due in the background; one request at a time for each machine."""
         if machine.sending:
             machine.resend_wanted = True
@@ -125,11 +125,11 @@
         if not machine.addr or self._state.clock.monotonic() - machine.send_failed_at < FAILED_SEND_BACKOFF_S:
             return
         machine.sending = True
-        self._tasks.spawn(self._meter.metered(Part.COMMANDS, self._send_due(machine)))
+        self._tasks.spawn(self._meter.metered(Part.COMMANDS, self._send_due_commands(machine)))
 
-    async def _send_due(self, machine: Machine) -> None:
+    async def _send_due_commands(self, machine: Machine) -> None:
         try:
-            await asyncio.sleep(0)  # changes of the same moment go in one request
+            await asyncio.sleep(0)  # changes of the same event loop iteration share one request
             resend = True
             while resend and not self._state.ownership.superseded and machine.incarnation > 0:
                 machine.resend_wanted = False
@@ -144,7 +144,7 @@
             machine.sending = False
 
     async def send(self, machine: Machine, commands: list[Command], timeout: float = COMMAND_TIMEOUT_S) -> SendOutcome:
-        """Send a command request, and take in the status in the worker's response.
+        """Send a command request, and apply the status in the worker's response.
 
         Raises:
             FencedError: the worker has a higher token.
@@ -160,7 +160,7 @@
         except RequestNotSentError as err:
             machine.send_failed_at = self._state.clock.monotonic()
             machine.started_in_commands -= started
-            log.debug("commands to machine %s not sent: %s", machine.id, err)
+            log.debug("command request to machine %s not sent: %s", machine.id, err)
             return SendOutcome.NOT_SENT if isinstance(err, NoFreeSocketError) else SendOutcome.FAILED
         except (NoResponseError, MessageDecodeError) as err:
             self._record_no_response(machine, incarnation, started, str(err))
@@ -176,17 +176,17 @@
         return SendOutcome.ACCEPTED if response.status == HTTPStatus.OK else SendOutcome.FAILED
 
     def _record_no_response(self, machine: Machine, incarnation: int, started: set[TaskRef], reason: str) -> None:
-        """Record that the commands may be executed at any later time, until incarnation or token changes."""
+        """Record that the commands may still be executed at any time until the incarnation or token changes."""
         now = self._state.clock.monotonic()
         machine.send_failed_at = now
         machine.started_in_commands -= started
         if machine.incarnation == incarnation:
             start = UnresolvedStart(self._state.ownership.token, now)
             machine.unresolved.update(dict.fromkeys(started, start))
-        log.debug("commands to machine %s: no response: %s", machine.id, reason)
+        log.debug("command request to machine %s got no valid response: %s", machine.id, reason)
 
     async def fence(self, machine: Machine) -> None:
-        """Show the worker this owner's token, so that no former owner's responses or commands count any more."""
+        """Send this owner's token to the worker, so that it ignores responses and commands of former owners."""
         if machine.sending or not machine.addr:
             return
         machine.sending = True
@@ -194,14 +194,14 @@
             incarnation = machine.incarnation
             await self.send(machine, [], PROBE_TIMEOUT_S)
             if not machine.fenced and machine.incarnation != incarnation:
-                # Rejected for its incarnation, which was a guess: a worker takes no token from such a request.
+                # Rejected because its incarnation was a guess: a worker takes no token from such a request.
                 await self.send(machine, [], PROBE_TIMEOUT_S)
         except FencedError:
             pass  # the ownership has recorded it
         finally:
             machine.sending = False
         if machine.fenced:
-            self.send_due(machine)
+            self.send_due_commands(machine)
 
     def close(self) -> None:
         """Cancel command requests that are in flight."""
--- a/src/cloverplank/shard/task_stops.py
+++ b/src/cloverplank/shard/task_stops.py
@@ -8,14 +8,14 @@
 from cloverplank.autoscaling.draining import DrainReason
 from cloverplank.basic_types import MonotonicTime, TaskRef
 from cloverplank.shard.machine import Machine
-from cloverplank.shard.shard_types import CHECKPOINT_MARGIN_S, Stop, placed_refs
+from cloverplank.shard.shard_types import CHECKPOINT_MARGIN_S, StopRequest, placed_refs
 from cloverplank.shard.state import ShardState
 
 log = logging.getLogger(__name__)
 
-STOP_TTL_S = 60.0  # a request older than this is dropped
-TERMINATION_MARGIN_S = 0.5
-STOP_LEAD_HEARTBEATS = 0.6  # before the termination, for tasks without checkpoints
+STOP_TTL_S = 60.0  # older requests are dropped
+TERMINATION_MARGIN_S = 0.5  # time left between the end of a checkpoint's grace period and the termination
+STOP_LEAD_HEARTBEATS = 0.6  # heartbeat intervals before termination at which tasks without checkpoints stop
 
 
 class TaskStops:
@@ -29,19 +29,19 @@
         self._send_commands = send_commands
 
     def stop(self, ref: TaskRef, machine: Machine, *, grace_s: float, reason: str) -> None:
-        """Request that a task be stopped; it has `grace_s` seconds for a checkpoint."""
+        """Request that a task be stopped, with `grace_s` seconds for a checkpoint."""
         state = self._state
         if ref in state.stops:
             return
-        state.stops[ref] = Stop(machine.id, grace_s, reason, state.clock.monotonic())
+        state.stops[ref] = StopRequest(machine.id, grace_s, reason, state.clock.monotonic())
         machine.reconciled_at_change = None
         log.info("stop: task %s attempt %d on machine %s: %s", ref.name, ref.attempt, machine.id, reason)
         self._send_commands(machine)
 
     def check_termination(self, machine: Machine, now: MonotonicTime) -> None:
-        """Stop tasks on a machine that is drained for a fault, or that the cloud takes away soon.
+        """Stop tasks on a machine that is drained for a fault, or that the cloud provider will terminate soon.
 
-        Tasks with checkpoints are stopped in time to save one; the others go on while they can.
+        Tasks with checkpoints are stopped in time to save one; the others continue for as long as they can.
         """
         drain_reason = self._state.draining.reason(machine.id)
         is_faulty = drain_reason is not None and drain_reason != DrainReason.IDLE
@@ -62,7 +62,7 @@
                 self.stop(ref, machine, grace_s=grace_s, reason="drain" if is_faulty else "termination notice")
 
     def drop_expired(self, now: MonotonicTime) -> None:
-        """Forget requests that are too old, and those of jobs that are over."""
+        """Drop requests that are too old, and those of jobs that no longer exist."""
         stops = self._state.stops
         expired = [
             ref
--- a/tests/shard/test_liveness.py
+++ b/tests/shard/test_liveness.py
@@ -136,9 +136,9 @@
         for number in range(others):
             shard.state.get_or_add_machine(f"m-x{number}").health = Health.UP
         shard.state.last_heartbeat_at = MonotonicTime(now - 0.1)
-        just_cut_off = shard._prober.hears_no_workers_since(now)
+        just_cut_off = shard._prober.receives_no_heartbeats_since(now)
         shard.state.last_heartbeat_at = MonotonicTime(now + 0.5)
-        return just_cut_off, shard._prober.hears_no_workers_since(now)
+        return just_cut_off, shard._prober.receives_no_heartbeats_since(now)
 
     just_cut_off, while_others_are_heard = run_service(scenario, seed=11)
     assert just_cut_off is is_isolated
--- a/tests/shard/test_turnover_rate.py
+++ b/tests/shard/test_turnover_rate.py
@@ -11,7 +11,7 @@
     now = 100.5
     turnover = TurnoverRate(Clock(lambda: now, lambda: now))
     for _ in range(30):
-        turnover.freed(4.0)
+        turnover.record_freed(4.0)
         now += 0.25
     assert turnover.rate() == 16.0
     now += 20
