--- a/tests/shard/conftest.py
+++ b/tests/shard/conftest.py
@@ -1,4 +1,4 @@
-"""Set-up of the shard tests: a simulated cluster in which a service runs on the machines of one shard."""
+"""Fixtures of the shard tests: a simulated cluster in which a service runs on the machines of one shard."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.simulation.world import World
 
 REPLICAS = 6
-SETTLE_S = 30  # until all replicas run
+STARTUP_S = 30  # all replicas run after this time
 
 
 @dataclass(frozen=True)
@@ -55,22 +55,22 @@
 
 @pytest.fixture
 def run_service() -> Callable[..., Any]:
-    """Run a scenario in a cluster whose service has started. The seed makes the run repeatable."""
+    """Run a scenario in a cluster whose service has started. The same seed repeats the same run."""
 
     def run_scenario(scenario: Callable[[ServiceCluster], Awaitable[Any]], *, seed: int) -> Any:
-        async def play() -> Any:
+        async def main() -> Any:
             world = World(seed=seed)
             spec = world.job(1, shape="service", lane="web", rank="prod", loaners=False, pieces=REPLICAS)
             await world.submit(spec)
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(STARTUP_S)
             return await scenario(ServiceCluster(world, spec))
 
-        return run(play())
+        return run(main())
 
     return run_scenario
 
 
 @pytest.fixture
 def machine() -> Machine:
-    """A machine without any heartbeat yet."""
+    """A machine that has not sent a heartbeat yet."""
     return Machine(MachineId("m-1"), Zone("a"), MonotonicTime(0.0))
--- a/tests/shard/test_former_owners.py
+++ b/tests/shard/test_former_owners.py
@@ -1,7 +1,7 @@
-"""When a shard owner may rely on it that all former owners have ended.
+"""Conditions under which a shard owner may assume that all former owners have ended.
 
-Only then does it count the leases of workers that it can't reach from that moment, and not from the end of the time for
-which a former owner may answer them without the key-value store.
+Only then does the owner count the leases of workers that it can't reach from that moment, and not from the end of the
+grace period in which a former owner may respond to them without access to the key-value store.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 ZONE = Zone("zone-0")
 SMALL_CPU = SMALL_CPU_CORES / 2  # leader and shard owner are two controllers
 OWN_LEASE = LeaseId(50)
-WARM_UP_S = 40.0  # from a controller's start until it knows every owner that may still be running
+WARM_UP_S = 40.0  # time after a controller's start until it knows every owner that may still be running
 
 
-class Follower:
-    """A controller whose cache gets changes from the test, and which is not running: its cycles are run by the test."""
+class StoppedController:
+    """A controller that is not running: the test applies changes to its cache and runs its scheduling cycles."""
 
     def __init__(self) -> None:
         world = World(1, cpu=SMALL_CPU)
@@ -51,26 +51,26 @@
         self.cache.revision = self._revision
         return ModRevision(self._revision)
 
-    def joins(self, node: str, lease: int) -> None:
+    def add_member(self, node: str, lease: int) -> None:
         self.cache.put(keys.node(node), NodeRecord(ZONE, lease), self._next_revision())
 
-    def lease_ends(self, node: str) -> None:
-        """Delete what is attached to a controller's lease."""
+    def expire_lease(self, node: str) -> None:
+        """Delete the keys that are attached to a controller's lease."""
         revision = self._next_revision()
         self.cache.delete(keys.node(node), revision)
         stored = self.cache.get(keys.shard(ZONE), ShardRecord)
         if stored is not None and stored.record.node == node:
             self.cache.delete(keys.shard(ZONE), revision)
 
-    def assigned_to(self, node: str, lease: int) -> None:
+    def assign_shard(self, node: str, lease: int) -> None:
         self.cache.put(keys.shard(ZONE), ShardRecord(ZONE, node, lease), self._next_revision())
 
-    def loaded_anew(self) -> None:
-        """Tell the controller what it is told once it has read everything again."""
+    def reload_cache(self) -> None:
+        """Notify the controller that its cache was reloaded."""
         self.controller._key_changed("")
 
     def cycle(self) -> None:
-        """Do what a scheduling cycle begins with."""
+        """Run the first steps of a scheduling cycle."""
         self.controller.owned.update()
         self.controller.owned.watch_former_owners()
 
@@ -79,93 +79,97 @@
         return self.controller.shards[ZONE]
 
 
-def follow(scenario) -> None:
-    """Play a scenario with a controller that has run for a while; it is a coroutine function of the follower."""
+def run_scenario(scenario) -> None:
+    """Run a scenario with a controller that has run for a while.
+
+    `scenario`: a coroutine function that takes the controller.
+    """
 
     async def main() -> None:
-        follower = Follower()
-        follower.loaded_anew()
-        follower.joins("c-1", 11)
-        follower.joins("c-2", 12)
-        follower.assigned_to("c-1", 11)
+        controller = StoppedController()
+        controller.reload_cache()
+        controller.add_member("c-1", 11)
+        controller.add_member("c-2", 12)
+        controller.assign_shard("c-1", 11)
         for _ in range(int(WARM_UP_S)):
-            follower.cycle()
+            controller.cycle()
             await asyncio.sleep(1.0)
-        await scenario(follower)
+        await scenario(controller)
 
     run(main())
 
 
 def test_former_owner_that_joined_again_has_ended() -> None:
-    async def scenario(follower: Follower) -> None:
-        follower.lease_ends("c-1")
-        follower.joins("c-1", 21)
-        follower.assigned_to("c-0", OWN_LEASE)
-        follower.cycle()
-        assert follower.shard.ownership.former_owners_ended
+    async def scenario(controller: StoppedController) -> None:
+        controller.expire_lease("c-1")
+        controller.add_member("c-1", 21)
+        controller.assign_shard("c-0", OWN_LEASE)
+        controller.cycle()
+        assert controller.shard.ownership.former_owners_ended
 
-    follow(scenario)
+    run_scenario(scenario)
 
 
 def test_former_owner_that_is_absent_may_still_answer_workers() -> None:
-    async def scenario(follower: Follower) -> None:
-        follower.lease_ends("c-1")
-        follower.assigned_to("c-0", OWN_LEASE)
-        follower.cycle()
-        assert not follower.shard.ownership.former_owners_ended
+    async def scenario(controller: StoppedController) -> None:
+        controller.expire_lease("c-1")
+        controller.assign_shard("c-0", OWN_LEASE)
+        controller.cycle()
+        assert not controller.shard.ownership.former_owners_ended
 
-    follow(scenario)
+    run_scenario(scenario)
 
 
-# A task would run twice: an owner between two cycles was not known, and the workers that it still answered were given up.
-@pytest.mark.parametrize("in_between", [["c-2"], ["c-2", "c-1", "c-2"]], ids=["one owner", "several owners"])
-def test_former_owner_between_two_scheduling_cycles_may_still_answer_workers(in_between: list[str]) -> None:
-    async def scenario(follower: Follower) -> None:
+# If an owner between two cycles is not recorded, a task runs twice: the workers to which that owner still responds are
+# given up.
+@pytest.mark.parametrize("owners_in_between", [["c-2"], ["c-2", "c-1", "c-2"]], ids=["one owner", "several owners"])
+def test_former_owner_between_two_scheduling_cycles_may_still_answer_workers(owners_in_between: list[str]) -> None:
+    async def scenario(controller: StoppedController) -> None:
         leases = {"c-1": 21, "c-2": 12}
-        follower.lease_ends("c-1")
-        follower.joins("c-1", leases["c-1"])
-        for node in in_between:
-            follower.assigned_to(node, leases[node])
-            follower.lease_ends(node)  # the controller is cut off from the key-value store, and goes on
+        controller.expire_lease("c-1")
+        controller.add_member("c-1", leases["c-1"])
+        for node in owners_in_between:
+            controller.assign_shard(node, leases[node])
+            controller.expire_lease(node)  # the controller is cut off from the key-value store and continues to run
             leases[node] += 10
             if node == "c-1":
-                follower.joins(node, leases[node])
-        follower.assigned_to("c-0", OWN_LEASE)
-        follower.cycle()
-        assert not follower.shard.ownership.former_owners_ended
+                controller.add_member(node, leases[node])
+        controller.assign_shard("c-0", OWN_LEASE)
+        controller.cycle()
+        assert not controller.shard.ownership.former_owners_ended
 
-    follow(scenario)
+    run_scenario(scenario)
 
 
-# The same: owners that came and went while the cache was read anew are not known.
+# The same failure: owners whose assignments began and ended while the cache was reloaded are not recorded.
 def test_former_owners_are_unknown_after_everything_was_read_again() -> None:
-    async def scenario(follower: Follower) -> None:
-        follower.lease_ends("c-1")
-        follower.joins("c-1", 21)
-        follower.loaded_anew()
-        follower.assigned_to("c-0", OWN_LEASE)
-        follower.cycle()
-        assert not follower.shard.ownership.former_owners_ended
+    async def scenario(controller: StoppedController) -> None:
+        controller.expire_lease("c-1")
+        controller.add_member("c-1", 21)
+        controller.reload_cache()
+        controller.assign_shard("c-0", OWN_LEASE)
+        controller.cycle()
+        assert not controller.shard.ownership.former_owners_ended
 
-    follow(scenario)
+    run_scenario(scenario)
 
 
 def test_owner_that_held_the_shard_for_long_is_remembered_from_the_end_of_its_assignment() -> None:
-    async def scenario(follower: Follower) -> None:
+    async def scenario(controller: StoppedController) -> None:
         await asyncio.sleep(3 * WARM_UP_S)  # no cycle meanwhile
-        follower.lease_ends("c-1")
-        follower.assigned_to("c-0", OWN_LEASE)
-        follower.cycle()
-        assert not follower.shard.ownership.former_owners_ended
+        controller.expire_lease("c-1")
+        controller.assign_shard("c-0", OWN_LEASE)
+        controller.cycle()
+        assert not controller.shard.ownership.former_owners_ended
 
-    follow(scenario)
+    run_scenario(scenario)
 
 
 async def owner_between_two_cycles_of_the_next(world: World) -> None:
-    """Have the shard owned twice in a row by controllers that end, the second one for a shorter time than a cycle.
+    """Give the shard two consecutive former owners, the second one for less than a scheduling cycle of the third.
 
-    The second one is cut off from the key-value store and keeps its workers; the third one can't reach these, and no
-    termination is to be had.
+    The second one is cut off from the key-value store and keeps its workers; the third one can't reach these, and the
+    cloud is down, so that no machine is terminated.
     """
     first, lead = shard_owner(world), leader(world)
     second, third = (label for label in world.labels if label not in (first, lead))
@@ -175,7 +179,7 @@
     world.cloud.down = True
     decline_assignments(world, third, 6.5)
     world.controllers[third][0].scheduling_loop.pause_after = lambda took_s: 10.0
-    await asyncio.sleep(1.3)  # the others have heard so
+    await asyncio.sleep(1.3)  # until the other controllers have received this by gossip
     world.crash(first)
     while not world.controllers[second][0].shards:
         await asyncio.sleep(0.02)
@@ -191,7 +195,7 @@
     await asyncio.sleep(30.0)
 
 
-# A task ran twice: the owner of a shard did not know of one that its assignment came after.
+# A task runs twice if the owner of a shard does not know of an owner between its former assignment and its own.
 @pytest.mark.parametrize("seed", range(3))
 def test_no_task_runs_twice_if_an_owner_came_and_went_between_two_cycles_of_the_next(seed: int) -> None:
     async def main() -> None:
--- a/tests/shard/test_heartbeats.py
+++ b/tests/shard/test_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats in the simulated world: which are answered, by whom, and what each costs."""
+"""Heartbeats in the simulated world: which ones are answered, by which controller, and what they cost."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 
 
 def test_new_owner_fences_workers_whose_incarnation_it_does_not_know(run_service) -> None:
-    """Commands for a wrong incarnation are rejected whole, the token with them: the former owner, refused by the store
-    alone, went on answering for seconds."""
+    """A former owner that only the store refuses could otherwise respond to workers for seconds.
+
+    Workers reject commands for a wrong incarnation as a whole, including the new owner's token.
+    """
 
     async def scenario(cluster: ServiceCluster) -> None:
         world, former = cluster.world, cluster.owner_name
@@ -56,7 +58,7 @@
 
 
 def test_heartbeats_without_our_token_are_refused_in_the_end(run_service) -> None:
-    """Each response might have renewed a lease, so its tasks were never proven to have ended."""
+    """If all were answered, each response might renew a lease, and tasks would never be proven to have ended."""
 
     async def scenario(cluster: ServiceCluster) -> None:
         shard, worker = cluster.shard, cluster.busy_worker
@@ -72,24 +74,24 @@
 
 
 def test_unchanged_heartbeat_costs_no_pass_over_tasks_or_jobs(run_service) -> None:
-    """Among hundreds of machines most heartbeats say nothing new, and each was taken apart all the same."""
+    """With hundreds of machines, most heartbeats contain nothing new and must not be processed in full."""
 
     async def scenario(cluster: ServiceCluster) -> None:
         world, worker, intake = cluster.world, cluster.busy_worker, cluster.shard.intake
-        learned: list[str] = []
+        processed: list[str] = []
         real = intake.apply_status
         intake.apply_status = lambda machine, *args, **options: (
-            learned.append(machine.id),
+            processed.append(machine.id),
             real(machine, *args, **options),
         )[1]
         before = cluster.shard.machines[worker.id].sequence
         await asyncio.sleep(4 * world.lease_s)
         assert cluster.shard.machines[worker.id].sequence > before + 10
-        assert worker.id not in learned
-        assert cluster.running() == REPLICAS  # its lease was renewed all the while
+        assert worker.id not in processed
+        assert cluster.running() == REPLICAS  # the worker's lease was renewed throughout
         assert (await world.ask("POST", f"/api/jobs/{cluster.spec['id']}/cancel"))[0] == 200
         await asyncio.sleep(5)
-        assert worker.id in learned
+        assert worker.id in processed
         assert not any(task.status == "running" for task in worker.tasks.values())
         check(world)
 
@@ -97,7 +99,7 @@
 
 
 def test_acknowledgements_of_ended_tasks_are_deferred_and_bounded() -> None:
-    """Each change on a machine is one more heartbeat: acknowledging at once cost one for each task."""
+    """Each change on a machine causes one more heartbeat: acknowledging at once would cost one for each task."""
 
     async def scenario() -> None:
         world = World(seed=10)
@@ -137,7 +139,7 @@
 
 
 def test_unassigned_token_does_not_supersede_the_owner_for_long(run_service) -> None:
-    """One worker's contradictory message kept an owner from answering all others until it was restarted."""
+    """One worker's contradictory message must not keep an owner from responding to all others until it is restarted."""
 
     async def scenario(cluster: ServiceCluster) -> None:
         world, handler, shard = cluster.world, cluster.owner.heartbeat_handler, cluster.shard
--- a/tests/shard/test_liveness.py
+++ b/tests/shard/test_liveness.py
@@ -1,4 +1,4 @@
-"""Liveness tracking in the simulated world: dead machines, one-way partitions, and owners that are cut off themselves."""
+"""Liveness tracking in the simulated world: dead machines, one-way partitions, and isolated owners."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def test_lost_machine_is_terminated_before_its_lease_expires(down_time_after) -> None:
-    """Its replicas came back after the lease only, although a termination proves them ended at once."""
+    """Guards against replacing its replicas only after the lease: a termination proves at once that they have ended."""
 
     async def die(cluster: ServiceCluster) -> None:
         next(m for m in cluster.world.machines.values() if m.tasks).die()
@@ -52,23 +52,23 @@
 
 
 def test_machine_lost_in_a_failover_has_no_lease_counted_from_later_than_the_former_owner(down_time_after) -> None:
-    """Its tasks were missing for the former owner's grace period and the lease on top."""
+    """Guards against tasks that are missing for the former owner's grace period and the lease on top."""
 
     async def die_with_the_owner(cluster: ServiceCluster) -> None:
         world = cluster.world
         world.spawn(world.restart(cluster.owner_name, 3.0))
         next(m for m in world.machines.values() if m.tasks).die()
-        world.cloud.down = True  # so that no termination can prove it
+        world.cloud.down = True  # so that no termination can prove that the tasks have ended
         await asyncio.sleep(0.1)
 
-    # Failover (4 s), then a lease from the return of the former owner's process, then a new machine.
+    # Failover (4 s), then a lease from the restart of the former owner's process, then a new machine.
     assert down_time_after(die_with_the_owner) < 30.0
 
 
 def test_eviction_is_logged_with_the_tasks_and_the_proof_that_they_have_ended(
     run_service, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """From the logs of a day on which a task ran twice nobody could tell on what proof it had been given up."""
+    """Without these, the logs of a run in which a task runs twice do not show on what proof it was evicted."""
     caplog.set_level(logging.INFO, "cloverplank.shard.evictions")
 
     async def scenario(cluster: ServiceCluster) -> None:
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("cloud_down", [False, True], ids=["cloud up", "cloud down"])
 def test_machine_in_inbound_partition_loses_its_tasks_and_is_terminated(run_service, cloud_down: bool) -> None:
-    """Its lease expired again and again while every heartbeat made it look healthy: its job waited there."""
+    """Its lease expires again and again while every heartbeat makes it look healthy, so its job would wait there."""
 
     async def scenario(cluster: ServiceCluster) -> None:
         world, worker = cluster.world, cluster.busy_worker
@@ -96,7 +96,7 @@
         await asyncio.sleep(50)
         elsewhere = sum(len(machines - {worker.id}) for machines in world.rules.running_on.values())
         assert not worker.tasks
-        assert not cluster.shard.state.store.jobs_on(worker.id)  # evicted: its new incarnation shows no tasks
+        assert not cluster.shard.state.store.jobs_on(worker.id)  # evicted, because its new incarnation shows no tasks
         assert cloud_down or elsewhere == REPLICAS
         world.cloud.down = False
         await asyncio.sleep(30)
@@ -108,7 +108,7 @@
 
 
 def test_probe_without_a_free_socket_says_nothing_of_the_machine(run_service, monkeypatch: pytest.MonkeyPatch) -> None:
-    """An owner that was short of sockets gave up machines that were healthy."""
+    """Guards against an owner that runs short of sockets and gives up healthy machines."""
 
     async def scenario(cluster: ServiceCluster) -> None:
         shard = cluster.shard
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize(("others", "is_isolated"), [(1, False), (60, True)], ids=["few machines", "many machines"])
 def test_owner_just_cut_off_from_its_workers_detects_isolation(run_service, others: int, is_isolated: bool) -> None:
-    """No heartbeat comes and nobody responds: 47 healthy machines were terminated on a simulated day."""
+    """Guards against terminating healthy machines (47 on a simulated day) when no heartbeat and no response arrives."""
 
     async def scenario(cluster: ServiceCluster) -> tuple[bool, bool]:
         shard = cluster.shard
@@ -140,14 +140,16 @@
         shard.state.last_heartbeat_at = MonotonicTime(now + 0.5)
         return just_cut_off, shard._prober.receives_no_heartbeats_since(now)
 
-    just_cut_off, while_others_are_heard = run_service(scenario, seed=11)
+    just_cut_off, with_other_heartbeats = run_service(scenario, seed=11)
     assert just_cut_off is is_isolated
-    assert not while_others_are_heard
+    assert not with_other_heartbeats
 
 
 def test_new_owner_evicts_machines_terminated_before_the_failover(run_service, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The eviction was lost with the former owner; all knew of the termination, so nobody checked the machine again and
-    its job waited for ever."""
+    """Guards against a job that waits indefinitely because an eviction was lost with the former owner.
+
+    All controllers know of the termination, so none of them checks the machine again.
+    """
 
     async def scenario(cluster: ServiceCluster) -> None:
         world, owner, worker = cluster.world, cluster.owner, cluster.busy_worker
@@ -167,8 +169,10 @@
 
 @pytest.mark.parametrize("cloud_down", [False, True], ids=["cloud up", "cloud down"])
 def test_machine_in_outbound_partition_loses_its_tasks_and_is_terminated(cloud_down: bool) -> None:
-    """Commands reached it and its heartbeats nobody: it counted as healthy, was given its tasks again after each
-    expiry of its lease, and none of them ever got further than a lease."""
+    """Guards against a machine that counts as healthy because commands reach it, although its heartbeats do not arrive.
+
+    It would be given its tasks again after each lease expiry, and none of them would run for longer than a lease.
+    """
 
     async def scenario() -> None:
         world = World(seed=13)
@@ -200,8 +204,11 @@
 
 
 def test_outbound_partition_is_detected_among_many_machines() -> None:
-    """Where many machines send heartbeats, one does so within a second: that none came at this very moment was taken
-    for a sign of the owner's isolation, and partitioned machines kept their tasks' places for good."""
+    """Guards against partitioned machines that keep their tasks' places indefinitely.
+
+    Where many machines send heartbeats, one does so within a second. That none arrives at the very moment of a check
+    must not be taken for a sign of the owner's isolation.
+    """
 
     async def scenario() -> None:
         world = World(seed=16, capacity=60, scale=12.0)
@@ -237,12 +244,12 @@
 
 @pytest.mark.parametrize(
     ("last_heartbeat_age_s", "min_lost", "max_lost"),
-    [pytest.param(5.0, 0, 0, id="isolated owner"), pytest.param(0.0, 11, 40, id="owner hears others")],
+    [pytest.param(5.0, 0, 0, id="isolated owner"), pytest.param(0.0, 11, 40, id="owner receives others")],
 )
 def test_outbound_partition_is_not_assumed_by_an_isolated_owner(
     run_service, last_heartbeat_age_s: float, min_lost: int, max_lost: int
 ) -> None:
-    """Nobody's heartbeats come, and probes get responses: the owner itself may be what heartbeats don't reach."""
+    """No heartbeats arrive at all, and probes get responses: heartbeats may fail to reach only the owner itself."""
 
     async def scenario(cluster: ServiceCluster) -> int:
         shard, state = cluster.shard, cluster.shard.state
--- a/tests/shard/test_machine.py
+++ b/tests/shard/test_machine.py
@@ -1,4 +1,4 @@
-"""State of one machine: which heartbeats count, which starts may come late, when its lease expires, which images it has."""
+"""State of one machine: outdated heartbeats, late start commands, lease expiry and cached images."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_start_in_response_may_come_late_until_next_heartbeat(machine: Machine) -> None:
-    """The response to a command request can overtake the response to a heartbeat; a heartbeat can't."""
+    """The response to a command request can overtake the response to a heartbeat; the next heartbeat can't."""
     machine.apply(heartbeat(1, 1), MonotonicTime(1.0), is_heartbeat=True)
     machine.started_in_response.add(TASK)
     machine.apply(heartbeat(1, 2), MonotonicTime(1.1), is_heartbeat=False)
@@ -56,7 +56,7 @@
 
 
 def test_duplicate_heartbeat_is_recognized(machine: Machine) -> None:
-    """A response to it would count the lease of a dead machine from its duplicates."""
+    """If duplicates were answered, the lease of a dead machine would be counted from the responses to them."""
     for sequence in (4, 5):
         assert not machine.is_duplicate(heartbeat(1, sequence))
         machine.last_heartbeat = (1, sequence)
@@ -65,7 +65,7 @@
 
 
 def test_heartbeat_overtaken_by_command_response_is_no_duplicate(machine: Machine) -> None:
-    """It is older than what is known, but a worker waits for its response."""
+    """The heartbeat is older than the known state, but the worker waits for its response."""
     machine.last_heartbeat = (1, 5)
     machine.apply(heartbeat(1, 9), MonotonicTime(1.0), is_heartbeat=False)
     assert not machine.is_duplicate(heartbeat(1, 7))
@@ -75,9 +75,8 @@
 def test_lease_of_unfenced_worker_expires_no_sooner_than_by_former_owner(machine: Machine) -> None:
     machine.last_response_at = MonotonicTime(100.0)
     assert machine.tasks_expire_at(12.0, MonotonicTime(140.0)) == 140.0
-    machine.last_response_at = MonotonicTime(
-        139.0
-    )  # by this owner, before the worker showed its token: it may have renewed the lease, too
+    # This owner's response, sent before the worker showed its token, may have renewed the lease, too.
+    machine.last_response_at = MonotonicTime(139.0)
     assert 151.0 < machine.tasks_expire_at(12.0, MonotonicTime(140.0)) < 152.0
 
 
@@ -88,7 +87,7 @@
 
 
 def test_images_are_remembered_up_to_cache_size(machine: Machine) -> None:
-    """Of 40 images in the cache of every machine a dozen were remembered: starts waited for a pull elsewhere."""
+    """Guards against remembering a dozen of 40 cached images, so that starts wait for an image pull elsewhere."""
     for number in range(40):
         machine.remember_image(f"img-{number}", 1.0, 60.0)
     assert len(machine.known_images) == 40
--- a/tests/shard/test_turnover_rate.py
+++ b/tests/shard/test_turnover_rate.py
@@ -1,4 +1,4 @@
-"""The rate at which capacity is freed without preemption."""
+"""Rate at which capacity is freed without preemption."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def test_turnover_rate_is_freed_capacity_per_second() -> None:
-    """Tasks need not be preempted for capacity that is freed anyway within seconds."""
+    """Guards against preempting tasks for capacity that is freed anyway within seconds."""
     now = 100.5
     turnover = TurnoverRate(Clock(lambda: now, lambda: now))
     for _ in range(30):
