--- a/src/cloverplank/shard/heartbeat_intake.py
+++ b/src/cloverplank/shard/heartbeat_intake.py
@@ -7,7 +7,7 @@
 from cloverplank.basic_types import MachineId, MonotonicTime
 from cloverplank.shard.errors import HeartbeatRefusal, HeartbeatRefusedError
 from cloverplank.shard.machine import Health, Machine
-from cloverplank.shard.shard_types import MAX_UNACKNOWLEDGED
+from cloverplank.shard.shard_types import MAX_UNACKNOWLEDGED_RESPONSES
 from cloverplank.shard.state import MAX_MACHINES, ShardState
 from cloverplank.shard.task_outcomes import TaskOutcomes
 from cloverplank.shard.task_reconciler import MAX_COMMANDS, MAX_DEFERRED_ACKS, TaskReconciler, started_tasks
@@ -65,7 +65,7 @@
         machine.unacknowledged_responses = (
             0 if heartbeat.token == ownership.token else machine.unacknowledged_responses + 1
         )
-        if machine.unacknowledged_responses > MAX_UNACKNOWLEDGED:
+        if machine.unacknowledged_responses > MAX_UNACKNOWLEDGED_RESPONSES:
             self._refuse_until_lease_expires(machine, now)
             machine.unacknowledged_responses = 1
         machine.last_response_at = state.clock.monotonic()
--- a/src/cloverplank/shard/liveness.py
+++ b/src/cloverplank/shard/liveness.py
@@ -12,7 +12,7 @@
 from cloverplank.shard.shard_types import (
     CHECKPOINT_MARGIN_S,
     INBOUND_PARTITION,
-    MAX_UNACKNOWLEDGED,
+    MAX_UNACKNOWLEDGED_RESPONSES,
     OUTBOUND_PARTITION,
     TaskState,
     placed_refs,
@@ -93,7 +93,7 @@
         # The heartbeats of a machine that acknowledges none of the responses don't count as contact.
         contact_at = (
             machine.last_contact_at
-            if machine.unacknowledged_responses <= MAX_UNACKNOWLEDGED
+            if machine.unacknowledged_responses <= MAX_UNACKNOWLEDGED_RESPONSES
             else machine.last_response_at
         )
         silent_s = now - max(contact_at, state.ownership.since)
--- a/tests/shard/test_heartbeats.py
+++ b/tests/shard/test_heartbeats.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cloverplank.shard.errors import HeartbeatRefusal, HeartbeatRefusedError
-from cloverplank.shard.shard_types import MAX_UNACKNOWLEDGED
+from cloverplank.shard.shard_types import MAX_UNACKNOWLEDGED_RESPONSES
 from cloverplank.shard.task_reconciler import MAX_DEFERRED_ACKS
 from cloverplank.wire.codec import decode
 from cloverplank.wire.workers import Heartbeat, TaskStatus
@@ -63,7 +63,9 @@
     async def scenario(cluster: ServiceCluster) -> None:
         shard, worker = cluster.shard, cluster.busy_worker
         first = Heartbeat(worker.id, worker.incarnation, worker.sequence + 1, 0, worker.addr, worker.type, worker.zone)
-        following = [msgspec.structs.replace(first, sequence=first.sequence + n) for n in range(MAX_UNACKNOWLEDGED + 1)]
+        following = [
+            msgspec.structs.replace(first, sequence=first.sequence + n) for n in range(MAX_UNACKNOWLEDGED_RESPONSES + 1)
+        ]
         for heartbeat in following[:-1]:
             shard.on_heartbeat(heartbeat)
         with pytest.raises(HeartbeatRefusedError) as refused:
--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -251,8 +251,8 @@
 
     monkeypatch.setattr(machines.Machine, "apply", trusting)
     monkeypatch.setattr(probing.Prober, "start_probe", lambda self, machine: None)
-    monkeypatch.setattr(heartbeat_intake, "MAX_UNACKNOWLEDGED", 10**9)
-    monkeypatch.setattr(liveness, "MAX_UNACKNOWLEDGED", 10**9)
+    monkeypatch.setattr(heartbeat_intake, "MAX_UNACKNOWLEDGED_RESPONSES", 10**9)
+    monkeypatch.setattr(liveness, "MAX_UNACKNOWLEDGED_RESPONSES", 10**9)
     assert "forgotten" in broken(machines_receive_nothing_from_then_on)
 
 
