--- a/src/cloverplank/controller/scheduling_cycle.py
+++ b/src/cloverplank/controller/scheduling_cycle.py
@@ -121,7 +121,7 @@
             yield
             with self._meter.section(Part.CONSOLIDATION):
                 shard.consolidate(self._headroom)
-            shard.settle_evictions()
+            shard.remove_completed_evictions()
 
     def _is_leader(self) -> bool:
         return self._controller_lease.leadership_revision() is not None
--- a/src/cloverplank/shard/shard.py
+++ b/src/cloverplank/shard/shard.py
@@ -95,7 +95,7 @@
             capacity_lacking = self._placement.replicas_lack_capacity
             self._consolidation.run(headroom, replicas_lack_capacity=capacity_lacking)
 
-    def settle_evictions(self) -> None:
+    def remove_completed_evictions(self) -> None:
         """Remove the entries of completed evictions."""
         self._evictions.remove_completed_entries()
 
