--- a/src/cloverplank/controller/scheduling_cycle.py
+++ b/src/cloverplank/controller/scheduling_cycle.py
@@ -101,7 +101,7 @@
         """
         shards = self._owned.shards
         self._owned.update()
-        self._owned.watch_former_owners()
+        self._owned.check_former_owners()
         for shard in shards.values():
             shard.check_machines()
         is_leader = self._is_leader()
--- a/src/cloverplank/shard/owned_shards.py
+++ b/src/cloverplank/shard/owned_shards.py
@@ -105,7 +105,7 @@
             if shard is None and token is not None and self._watch_cache.revision >= token:
                 self._acquire(zone, token)
 
-    def watch_former_owners(self) -> None:
+    def check_former_owners(self) -> None:
         """Mark the former owners of a shard as ended once none of them responds to workers any longer."""
         for zone, shard in self.shards.items():
             if not shard.ownership.former_owners_ended and self._former_owners.have_ended(zone):
--- a/tests/shard/test_former_owners.py
+++ b/tests/shard/test_former_owners.py
@@ -72,7 +72,7 @@
     def cycle(self) -> None:
         """Run the first steps of a scheduling cycle."""
         self.controller.owned.update()
-        self.controller.owned.watch_former_owners()
+        self.controller.owned.check_former_owners()
 
     @property
     def shard(self) -> Shard:
