--- a/src/cloverplank/shard/heartbeat_intake.py
+++ b/src/cloverplank/shard/heartbeat_processor.py
@@ -14,7 +14,7 @@
 from cloverplank.wire.workers import Command, Heartbeat, HeartbeatResponse
 
 
-class HeartbeatIntake:
+class HeartbeatProcessor:
     """Processes the heartbeats of one shard's workers, and their responses to command requests.
 
     `start_probe`: sends a request to a machine to check for two-way contact.
--- a/src/cloverplank/shard/shard.py
+++ b/src/cloverplank/shard/shard.py
@@ -11,7 +11,7 @@
 from cloverplank.shard.consolidation import Consolidation
 from cloverplank.shard.evictions import Evictions
 from cloverplank.shard.failures import FailureTracker
-from cloverplank.shard.heartbeat_intake import HeartbeatIntake
+from cloverplank.shard.heartbeat_processor import HeartbeatProcessor
 from cloverplank.shard.liveness import LivenessTracker
 from cloverplank.shard.lost_machines import LostMachines
 from cloverplank.shard.machine import Machine
@@ -58,13 +58,13 @@
             state, changes=changes, capacity=capacity, failures=self.failures, stops=stops, turnover=turnover
         )
         self._consolidation = Consolidation(state, capacity=capacity, stops=stops)
-        self.intake = HeartbeatIntake(
+        self.heartbeat_processor = HeartbeatProcessor(
             state,
             task_reconciler=self.task_reconciler,
             outcomes=TaskOutcomes(state, changes, self.failures, turnover.record_freed),
             start_probe=self._prober.start_probe,
         )
-        self.on_heartbeat = self.intake.on_heartbeat  # bound here to save each heartbeat another call
+        self.on_heartbeat = self.heartbeat_processor.on_heartbeat  # bound here to save each heartbeat another call
 
     def add_known_machine(self, name: str, addr: str, type_name: str, *, spot: bool) -> None:
         """Add a machine known from a peer or the cloud, so that it can be sent requests before its first heartbeat."""
@@ -109,4 +109,4 @@
         self._prober.close()
 
     def _apply_command_response(self, machine: Machine, heartbeat: Heartbeat) -> None:
-        self.intake.apply_status(machine, heartbeat, is_heartbeat=False)
+        self.heartbeat_processor.apply_status(machine, heartbeat, is_heartbeat=False)
--- a/tests/shard/test_heartbeats.py
+++ b/tests/shard/test_heartbeats.py
@@ -79,10 +79,10 @@
     """With hundreds of machines, most heartbeats contain nothing new and must not be processed in full."""
 
     async def scenario(cluster: ServiceCluster) -> None:
-        world, worker, intake = cluster.world, cluster.busy_worker, cluster.shard.intake
+        world, worker, heartbeat_processor = cluster.world, cluster.busy_worker, cluster.shard.heartbeat_processor
         processed: list[str] = []
-        real = intake.apply_status
-        intake.apply_status = lambda machine, *args, **options: (
+        real = heartbeat_processor.apply_status
+        heartbeat_processor.apply_status = lambda machine, *args, **options: (
             processed.append(machine.id),
             real(machine, *args, **options),
         )[1]
--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -17,7 +17,7 @@
 from cloverplank.leader import dependency_reconciler
 from cloverplank.net.messages import make_response
 from cloverplank.scheduling import capacity, quotas
-from cloverplank.shard import heartbeat_intake, liveness, placement, probing, task_reconciler
+from cloverplank.shard import heartbeat_processor, liveness, placement, probing, task_reconciler
 from cloverplank.shard import machine as machines
 from cloverplank.shard import shard as shard_owner
 from cloverplank.wire.users import JobResponse
@@ -251,7 +251,7 @@
 
     monkeypatch.setattr(machines.Machine, "apply", trusting)
     monkeypatch.setattr(probing.Prober, "start_probe", lambda self, machine: None)
-    monkeypatch.setattr(heartbeat_intake, "MAX_UNACKNOWLEDGED_RESPONSES", 10**9)
+    monkeypatch.setattr(heartbeat_processor, "MAX_UNACKNOWLEDGED_RESPONSES", 10**9)
     monkeypatch.setattr(liveness, "MAX_UNACKNOWLEDGED_RESPONSES", 10**9)
     assert "forgotten" in broken(machines_receive_nothing_from_then_on)
 
