--- a/src/cloverplank/shard/heartbeat_processor.py
+++ b/src/cloverplank/shard/heartbeat_processor.py
@@ -73,7 +73,7 @@
 
     def _due_commands(self, machine: Machine) -> list[Command]:
         """Return the commands for a response, and record that they are being sent."""
-        commands, acknowledgements = self._task_reconciler.due(machine)
+        commands, acknowledgements = self._task_reconciler.due_commands(machine)
         if commands or len(acknowledgements) >= MAX_DEFERRED_ACKS:
             commands = (acknowledgements + commands)[:MAX_COMMANDS]
         machine.started_in_response.update(started_tasks(commands))
--- a/src/cloverplank/shard/task_reconciler.py
+++ b/src/cloverplank/shard/task_reconciler.py
@@ -68,7 +68,7 @@
         self._apply_response = apply_response
         self._tasks = BackgroundTasks()
 
-    def due(self, machine: Machine) -> tuple[list[Command], list[Command]]:
+    def due_commands(self, machine: Machine) -> tuple[list[Command], list[Command]]:
         """Return the commands that a worker should execute now, and acknowledgements, which can wait.
 
         Both follow from the committed records and the machine's newest heartbeat.
@@ -133,7 +133,7 @@
             resend = True
             while resend and not self._state.ownership.superseded and machine.incarnation > 0:
                 machine.resend_wanted = False
-                commands, acknowledgements = self.due(machine)
+                commands, acknowledgements = self.due_commands(machine)
                 if not commands:
                     return
                 await self.send(machine, (acknowledgements + commands)[:MAX_COMMANDS])
--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -74,13 +74,13 @@
 
 
 def test_ran_cancelled_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    real = task_reconciler.TaskReconciler.due
+    real = task_reconciler.TaskReconciler.due_commands
 
     def never_stopping(self, machine):
         commands, acknowledgements = real(self, machine)
         return [o for o in commands if o.op != "stop"], acknowledgements
 
-    monkeypatch.setattr(task_reconciler.TaskReconciler, "due", never_stopping)
+    monkeypatch.setattr(task_reconciler.TaskReconciler, "due_commands", never_stopping)
     assert "ran_cancelled" in broken()
 
 
