--- a/src/cloverplank/shard/consolidation.py
+++ b/src/cloverplank/shard/consolidation.py
@@ -26,7 +26,7 @@
 MOVE_SCAN_INTERVAL_S = 0.5
 MIN_REPLICA_AGE_S = 35.0  # younger replicas are not moved
 MAX_FIT_ATTEMPTS_PER_SCAN = 8  # machines per scan whose replicas are tentatively allocated elsewhere
-MACHINES_PER_CONSOLIDATION = 40  # one machine is emptied at a time, plus one per this many machines in the shard
+MACHINES_PER_CONSOLIDATION = 40  # one machine is emptied at a time, and one more per this many in the shard
 MOSTLY_USED_FRACTION = 0.5  # machines with a larger share of their cpus in use are tried last
 
 
--- a/src/cloverplank/shard/former_owners.py
+++ b/src/cloverplank/shard/former_owners.py
@@ -10,7 +10,7 @@
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.records.cluster import ShardRecord
 
-RETENTION_MARGIN_S = 5.0  # added to the grace period during which a former owner may still be running
+RETENTION_MARGIN_S = 5.0  # extends the grace period during which a former owner may still be running
 
 
 class _Owner(Struct):
@@ -44,7 +44,7 @@
         self._watch_cache = watch_cache
         self._max_age_s = grace_s + RETENTION_MARGIN_S
         self._zones = {keys.shard(zone): zone for zone in zones}
-        self._owners: dict[Zone, dict[int, _Owner]] = {zone: {} for zone in zones}  # by their lease IDs
+        self._owners: dict[Zone, dict[int, _Owner]] = {zone: {} for zone in zones}  # keyed by lease ID
         self._complete_since = clock.monotonic()  # no later assignment was missed
 
     def key_changed(self, key: str) -> None:
--- a/src/cloverplank/shard/liveness.py
+++ b/src/cloverplank/shard/liveness.py
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.2  # minimum time between checks of all machines
-UNRESOLVED_TIMEOUT_S = 3.0  # for a start command without a response, until a new token is requested
+UNRESOLVED_TIMEOUT_S = 3.0  # a new token is requested if a start command gets no response for this long
 FORGET_TAINTED_AFTER_S = 600.0  # silence after which a tainted machine without tasks is removed
 # A machine that responds to commands and sends no heartbeats counts as partitioned after this fraction of its lease,
 # but not before this many heartbeat intervals: a worker whose response was lost sends its next heartbeat sooner.
--- a/src/cloverplank/shard/task_reconciler.py
+++ b/src/cloverplank/shard/task_reconciler.py
@@ -55,7 +55,7 @@
 class TaskReconciler:
     """Compares the committed records with the newest heartbeats of one shard's machines, and sends commands.
 
-    Reconciliation is level-triggered: commands are computed anew each time, so a lost response, a restart or a failover
+    Reconciliation is level-triggered: commands are recomputed each time, so a lost response, a restart or a failover
     needs no special handling. `apply_response`: applies the status in a worker's response to a command request.
     """
 
