--- a/tests/shard/test_liveness.py
+++ b/tests/shard/test_liveness.py
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("cloud_down", [False, True], ids=["cloud up", "cloud down"])
 def test_machine_in_inbound_partition_loses_its_tasks_and_is_terminated(run_service, cloud_down: bool) -> None:
-    """The lease expires again and again while every heartbeat makes the machine look healthy: its job would wait there."""
+    """The lease expires again and again while heartbeats make the machine look healthy: its job would wait there."""
 
     async def scenario(cluster: ServiceCluster) -> None:
         world, worker = cluster.world, cluster.busy_worker
