--- a/src/cloverplank/shard/owned_shards.py
+++ b/src/cloverplank/shard/owned_shards.py
@@ -128,9 +128,9 @@
                 if not machine.fenced and not shard.ownership.superseded:
                     await shard.task_reconciler.fence(machine)
 
-        # Machines with the newest heartbeats come first, because each machine that is down takes a full time limit.
-        last_heartbeat_times = {entry.id: entry.heard_at or 0.0 for entry in self._registry.entries.values()}
-        machines = sorted(shard.machines.values(), key=lambda machine: -last_heartbeat_times.get(machine.id, 0.0))
+        # Machines with the newest contact come first, because each machine that is down takes a full time limit.
+        last_contact_times = {entry.id: entry.last_contact_at or 0.0 for entry in self._registry.entries.values()}
+        machines = sorted(shard.machines.values(), key=lambda machine: -last_contact_times.get(machine.id, 0.0))
         await asyncio.gather(*(fence(machine) for machine in machines), return_exceptions=True)
 
     async def reconcile(self, shard: Shard, *, peers_are_healthy: bool) -> None:
