--- a/src/cloverplank/controller/scheduling_cycle.py
+++ b/src/cloverplank/controller/scheduling_cycle.py
@@ -101,7 +101,7 @@
         """
         shards = self._owned.shards
         self._owned.update()
-        self._owned.watch_former_owners()
+        self._owned.check_former_owners()
         for shard in shards.values():
             shard.check_machines()
         is_leader = self._is_leader()
@@ -121,7 +121,7 @@
             yield
             with self._meter.section(Part.CONSOLIDATION):
                 shard.consolidate(self._headroom)
-            shard.settle_evictions()
+            shard.remove_completed_evictions()
 
     def _is_leader(self) -> bool:
         return self._controller_lease.leadership_revision() is not None
