--- a/src/cloverplank/jobs/__init__.py
+++ b/src/cloverplank/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Job records and their changes, layouts, DAG dependencies, and the open jobs that a controller knows."""
+"""Job records and their changes, storage layouts, DAG dependencies, and the cache of open jobs."""
--- a/src/cloverplank/jobs/blocked.py
+++ b/src/cloverplank/jobs/blocked.py
@@ -1,4 +1,4 @@
-"""Blocked jobs, those that depend on others, with an index from each job to its dependents."""
+"""Cache of blocked jobs, which wait for their upstream jobs, with an index from each job to its dependents."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class BlockedJob(Struct, frozen=True):
-    """A blocked job as it is committed."""
+    """A blocked job with its committed record."""
 
     id: JobId
     record: BlockedJobRecord
@@ -19,37 +19,37 @@
 
     @property
     def upstream(self) -> list[JobId]:
-        """The jobs that have to be done first."""
+        """The jobs that must be done before this one is released."""
         return [JobId(name) for name in self.record.upstream]
 
 
 class BlockedJobs:
     """All blocked jobs, and a queue of those to reconcile.
 
-    A job is queued when its record, or the state of a job that it depends on, has changed.
+    A job is queued when its record or the state of one of its upstream jobs has changed.
     """
 
     def __init__(self) -> None:
         self.jobs: dict[JobId, BlockedJob] = {}
-        self.version = 0  # changes with each change of the set of blocked jobs
+        self.version = 0  # incremented by each change of the blocked jobs
         self._listeners: list[Callable[[], None]] = []
-        self._dependents: dict[JobId, dict[JobId, None]] = {}  # in the order of their changes
+        self._dependents: dict[JobId, dict[JobId, None]] = {}  # by upstream job, the latest change last
         self._reconcile_queue: dict[JobId, None] = {}
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call the listener whenever a job is queued."""
+        """Register a listener, which is called whenever a job is queued."""
         self._listeners.append(listener)
 
     def get(self, job: JobId) -> BlockedJob | None:
-        """Return a blocked job, None where the job is not blocked."""
+        """Return a blocked job, or None if the job is not blocked."""
         return self.jobs.get(job)
 
     def dependents(self, upstream: JobId) -> Collection[JobId]:
-        """Return the blocked jobs that name this one."""
+        """Return the blocked jobs that depend directly on this one."""
         return self._dependents.get(upstream, ())
 
     def apply(self, job: JobId, record: BlockedJobRecord, mod_revision: ModRevision) -> None:
-        """Add a committed record, unless a newer one is here already."""
+        """Add or replace a committed record, unless the cached one is as new."""
         known = self.jobs.get(job)
         if known is not None:
             if mod_revision <= known.mod_revision:
@@ -62,7 +62,7 @@
         self.mark_changed(job)
 
     def remove(self, job: JobId, mod_revision: ModRevision) -> None:
-        """Remove a job whose key was deleted at this revision: it was released or cancelled."""
+        """Remove a job whose key was deleted at this revision, since it was released or cancelled."""
         known = self.jobs.get(job)
         if known is None or mod_revision <= known.mod_revision:
             return
@@ -80,23 +80,23 @@
                     del self._dependents[upstream]
 
     def mark_changed(self, job: JobId) -> None:
-        """Queue a job to be reconciled."""
+        """Queue a job for reconciliation and call the listeners."""
         if job in self.jobs:
             self._reconcile_queue[job] = None
             for listener in self._listeners:
                 listener()
 
     def mark_all_changed(self) -> None:
-        """Queue all jobs to be reconciled, without a call of the listeners."""
+        """Queue all jobs for reconciliation without calling the listeners."""
         self._reconcile_queue.update(dict.fromkeys(self.jobs))
 
     def upstream_changed(self, upstream: JobId) -> None:
-        """Queue the dependents of a job that has ended or was cancelled."""
+        """Queue the direct dependents of a job that is done or was cancelled."""
         for job in self.dependents(upstream):
             self.mark_changed(job)
 
     def take_changed(self) -> list[JobId]:
-        """Return the queued jobs, once each, and clear the queue."""
+        """Return the queued jobs without duplicates, and clear the queue."""
         jobs = list(self._reconcile_queue)
         self._reconcile_queue.clear()
         return jobs
--- a/src/cloverplank/jobs/compact_encoding.py
+++ b/src/cloverplank/jobs/compact_encoding.py
@@ -1,4 +1,4 @@
-"""The encoding of runs and done tasks in compact records."""
+"""Encoding of runs and done tasks as base64 strings in compact records."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def name_pattern(runs: list[Run]) -> NamePattern | None:
-    """Return the pattern of all machine names, None where they don't have the same."""
+    """Return the pattern that all machine names follow, or None if there is no common one."""
     patterns = set()
     for run in runs:
         prefix = run.machine.rstrip("0123456789")
@@ -31,11 +31,11 @@
     return patterns.pop() if len(patterns) == 1 else None
 
 
-# -- runs: groups of one zone and attempt, each run by its distance from the one before
+# -- runs: grouped by zone and attempt; machine and task numbers are stored as differences from the previous run
 
 
 def encode_runs(runs: list[Run], zones: list[str], pattern: NamePattern) -> str:
-    """Return the runs in base64; `zones` are those of all runs, `pattern` is that of all machine names."""
+    """Return the runs in base64. `zones` contains the zones of all runs; `pattern` fits all machine names."""
     out = bytearray()
     last_machine, expected_task = 0, 0
     prefix_length = len(pattern[0])
@@ -52,7 +52,7 @@
 
 
 def decode_runs(text: str, zones: list[str], pattern: NamePattern) -> list[Run]:
-    """Return the runs. Raises ValueError, IndexError, StopIteration or binascii.Error where they are malformed."""
+    """Decode runs. Raises ValueError, IndexError, StopIteration or binascii.Error if they are malformed."""
     data = iter(base64.b64decode(text, validate=True))
     prefix, digits = pattern
     runs: list[Run] = []
@@ -68,7 +68,7 @@
 
 
 def _groups(runs: list[Run]) -> Iterator[list[Run]]:
-    """Yield successive runs of one zone and attempt."""
+    """Yield the sequences of consecutive runs that have the same zone and attempt."""
     group: list[Run] = []
     for run in runs:
         if group and (group[0].zone, group[0].attempt) != (run.zone, run.attempt):
@@ -80,9 +80,10 @@
 
 
 def _write_ranges(out: bytearray, tasks: Ranges, expected: int) -> int:
-    """Append each range by its distance from `expected` and its length; return the number after the last one.
+    """Append each range as its distance from `expected` and its length; return the number after the last range.
 
-    The lowest bit of a length says whether another range follows.
+    `expected` is the number after the previous range. The lowest bit of an encoded length is set if another range
+    follows.
     """
     for position in range(0, len(tasks), 2):
         first, last = tasks[position], tasks[position + 1]
@@ -105,11 +106,11 @@
     return tasks, expected
 
 
-# -- done tasks: ranges or a bitmap, whichever is shorter
+# -- done tasks: as ranges or as a bitmap, whichever is shorter
 
 
 def encode_done(done: Ranges) -> str:
-    """Return the done tasks in base64, an empty text where there are none."""
+    """Return the done tasks in base64, an empty string if there are none."""
     if not done:
         return ""
     as_ranges = bytearray([DONE_AS_RANGES])
@@ -126,7 +127,7 @@
 
 
 def decode_done(text: str) -> Ranges:
-    """Return the done tasks. Raises StopIteration or binascii.Error where they are malformed."""
+    """Decode the done tasks. Raises StopIteration or binascii.Error if they are malformed."""
     data = base64.b64decode(text, validate=True)
     if not data:
         return []
--- a/src/cloverplank/jobs/dependencies.py
+++ b/src/cloverplank/jobs/dependencies.py
@@ -1,6 +1,6 @@
-"""Rules of DAG dependencies: when a blocked job is released or cancelled, and what its upstream jobs inherit from it.
+"""DAG dependency rules: when a blocked job is released or cancelled, and the priority that upstream jobs inherit.
 
-An upstream job is one that has to be done before another, its dependent, may start. All functions are pure.
+An upstream job must be done before another job, its dependent, may start. All functions are pure.
 """
 
 from __future__ import annotations
@@ -17,34 +17,34 @@
 
 RANKS = {"prod": 0, "urgent": 1, "standard": 2, "idle": 3}
 LOWEST_RANK = max(RANKS.values())
-ESTIMATE_FACTOR = 1.3  # owners' estimates are often too low by a third
+ESTIMATE_FACTOR = 1.3  # job owners' run time estimates are often too low by a third
 
 
 class UpstreamState(Enum):
-    """What is committed of a job that another one depends on."""
+    """The committed state of a job that another one depends on."""
 
     DONE = "done"
     CANCELLED = "cancelled"
     UNFINISHED = "unfinished"
-    NOT_IN_MEMORY = "not in memory"  # ended some time ago; its final record has to be read
+    NOT_IN_MEMORY = "not in memory"  # ended some time ago; its final record must be read from the store
 
 
 class Verdict(Enum):
-    """What becomes of a blocked job."""
+    """The decision on a blocked job."""
 
     RELEASE = "release"
     CANCEL = "cancel"
     WAIT = "wait"
-    READ_UPSTREAM = "look up"  # the states of some upstream jobs have to be read first
+    READ_UPSTREAM = "look up"  # the states of some upstream jobs must be read first
 
 
 StateOf = Callable[[JobId], UpstreamState]
 
 
 def decide(states: Iterable[UpstreamState]) -> Verdict:
-    """Return the verdict on a job, from the states of all its upstream jobs.
+    """Return the verdict on a blocked job, given the states of all its upstream jobs.
 
-    Done and cancelled are final, so a verdict other than WAIT or READ_UPSTREAM stays right for ever.
+    DONE and CANCELLED are final states, so the verdicts RELEASE and CANCEL remain valid indefinitely.
     """
     present = set(states)
     if UpstreamState.CANCELLED in present:
@@ -57,14 +57,14 @@
 
 
 def state_of_phase(phase: Phase) -> UpstreamState:
-    """Return the state of a job whose record or final record is known."""
+    """Return the upstream state of a job, given the phase in its record or final record."""
     if phase is Phase.DONE:
         return UpstreamState.DONE
     return UpstreamState.CANCELLED if phase is Phase.CANCELLED else UpstreamState.UNFINISHED
 
 
 def _all_upstream(job: BlockedJob, blocked_jobs: BlockedJobs) -> list[JobId]:
-    """Return every job that this one depends on, directly or through other blocked jobs."""
+    """Return all direct and indirect upstream jobs; indirect ones are found through other blocked jobs."""
     found: dict[JobId, None] = {}
     to_visit = list(job.upstream)
     while to_visit:
@@ -79,26 +79,26 @@
 
 
 def not_in_memory(job: BlockedJob, blocked_jobs: BlockedJobs, state_of: StateOf) -> list[JobId]:
-    """Return the upstream jobs whose states have to be read before `has_cancelled_upstream` can tell."""
+    """Return the upstream jobs whose states must be read before `has_cancelled_upstream` gives a reliable result."""
     return [
         upstream for upstream in _all_upstream(job, blocked_jobs) if state_of(upstream) is UpstreamState.NOT_IN_MEMORY
     ]
 
 
 def has_cancelled_upstream(job: BlockedJob, blocked_jobs: BlockedJobs, state_of: StateOf) -> bool:
-    """Return whether a job that it depends on, directly or through others, is cancelled, as it will be, too."""
+    """Return whether a direct or indirect upstream job is cancelled, so that this job will be cancelled as well."""
     return any(state_of(upstream) is UpstreamState.CANCELLED for upstream in _all_upstream(job, blocked_jobs))
 
 
 class EffectivePriority(Struct, frozen=True):
-    """The priority of a job with what it inherits from its dependents."""
+    """The priority of a job, including what it inherits from its dependents."""
 
-    rank: int  # the lowest number goes first
+    rank: int  # jobs with a lower number are scheduled first
     due_at: float | None  # time of day, ms
 
 
 def own_priority(record: JobRecord) -> EffectivePriority:
-    """Return the priority of a job without dependents."""
+    """Return the priority that a job has without dependents."""
     return EffectivePriority(RANKS[record.spec.rank], _due_at(record))
 
 
@@ -114,10 +114,10 @@
 
 
 class _Visit(NamedTuple):
-    """A step of a depth-first search: a job is entered, and left once all its dependents were."""
+    """A step of a depth-first search: each job is visited before its dependents, and again after all of them."""
 
     job: JobId
-    leaves: bool
+    after_dependents: bool
 
 
 class EffectivePriorities:
@@ -129,10 +129,10 @@
         self._version = -1
 
     def of(self, record: JobRecord) -> EffectivePriority:
-        """Return the highest rank and the earliest due time of the job and of all that depend on it.
+        """Return the highest rank and the earliest due time of the job and its direct and indirect dependents.
 
-        A deadline is that of the last job of a chain; the jobs before it are due as much earlier as the estimated run
-        times of those after them add up to.
+        A deadline applies to the last job of a chain; each job before it is due earlier by the sum of the estimated run
+        times of the jobs after it.
         """
         own = own_priority(record)
         if not self._blocked_jobs.dependents(record.id):
@@ -150,21 +150,23 @@
         return self._inherited[job]
 
     def _dependents_first(self, job: JobId) -> list[JobId]:
-        """Return the job and all that depend on it, each after its dependents.
+        """Return the job and its direct and indirect dependents, each after its own dependents.
 
-        It is not recursive, since chains may be long.
+        The search is iterative rather than recursive, since chains may be long.
         """
         ordered: list[JobId] = []
         entered: set[JobId] = set()
-        to_visit = [_Visit(job, leaves=False)]
+        to_visit = [_Visit(job, after_dependents=False)]
         while to_visit:
             visit = to_visit.pop()
-            if visit.leaves:
+            if visit.after_dependents:
                 ordered.append(visit.job)
             elif visit.job not in entered:
                 entered.add(visit.job)
-                to_visit.append(_Visit(visit.job, leaves=True))
-                to_visit += [_Visit(dependent, leaves=False) for dependent in self._blocked_jobs.dependents(visit.job)]
+                to_visit.append(_Visit(visit.job, after_dependents=True))
+                to_visit += [
+                    _Visit(dependent, after_dependents=False) for dependent in self._blocked_jobs.dependents(visit.job)
+                ]
         return ordered
 
     def _from_dependents(self, job: JobId) -> EffectivePriority:
--- a/src/cloverplank/jobs/ranges.py
+++ b/src/cloverplank/jobs/ranges.py
@@ -8,11 +8,11 @@
 
 Ranges = list[int]
 
-ONE_RANGE = 2  # numbers in the list
+SINGLE_RANGE_LENGTH = 2  # list length of a set that consists of one range
 
 
 def from_numbers(numbers: Iterable[int]) -> Ranges:
-    """Return the set of these numbers."""
+    """Return the ranges that contain exactly these numbers."""
     result: Ranges = []
     for number in sorted(set(numbers)):
         if result and result[-1] == number - 1:
@@ -23,8 +23,8 @@
 
 
 def count(ranges: Ranges) -> int:
-    """Return how many numbers there are."""
-    if len(ranges) == ONE_RANGE:  # most sets are one range: the tasks of a job on one machine
+    """Return how many numbers the ranges contain."""
+    if len(ranges) == SINGLE_RANGE_LENGTH:  # the common case: the tasks of a job on one machine
         return ranges[1] - ranges[0] + 1
     return sum(ranges[1::2]) - sum(ranges[::2]) + len(ranges) // 2
 
@@ -35,12 +35,12 @@
 
 
 def text(ranges: Ranges) -> str:
-    """Return the set as log lines show it: `0-3,7`."""
+    """Return the ranges as text for log lines, such as `0-3,7`."""
     return ",".join(str(first) if first == last else f"{first}-{last}" for first, last in pairs(ranges))
 
 
 def numbers(ranges: Ranges) -> Iterator[int]:
-    """Yield all numbers."""
+    """Yield all numbers in ascending order."""
     for first, last in pairs(ranges):
         yield from range(first, last + 1)
 
@@ -53,7 +53,7 @@
 
 
 def union(*sets: Ranges) -> Ranges:
-    """Return all numbers that are in one of the sets."""
+    """Return the numbers that are in at least one of the sets."""
     filled = [ranges for ranges in sets if ranges]
     if len(filled) <= 1:
         return list(filled[0]) if filled else []
@@ -67,7 +67,7 @@
 
 
 def without(ranges: Ranges, removed: Ranges) -> Ranges:
-    """Return the numbers that are not in `removed`."""
+    """Return the numbers of `ranges` that are not in `removed`."""
     if not removed:
         return list(ranges)
     result: Ranges = []
@@ -90,7 +90,7 @@
 
 
 def take(ranges: Ranges, limit: int) -> tuple[Ranges, Ranges]:
-    """Return the lowest numbers, `limit` of them at most, and the others."""
+    """Return the lowest numbers, at most `limit` of them, and the remaining numbers."""
     taken: Ranges = []
     rest: Ranges = []
     for first, last in pairs(ranges):
--- a/src/cloverplank/jobs/varint.py
+++ b/src/cloverplank/jobs/varint.py
@@ -1,4 +1,4 @@
-"""Integers of variable length: seven bits a byte, the highest bit set where another byte follows."""
+"""Variable-length integers: seven bits per byte, with the highest bit set if another byte follows."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def write_unsigned(out: bytearray, number: int) -> None:
-    """Append a number that is not negative."""
+    """Append a non-negative number."""
     while number > MAX_BYTE_VALUE:
         out.append(number & MAX_BYTE_VALUE | CONTINUATION_BIT)
         number >>= BITS_PER_BYTE
@@ -18,14 +18,14 @@
 
 
 def write_signed(out: bytearray, number: int) -> None:
-    """Append a number with its sign in the lowest bit."""
+    """Append a number of either sign, with the sign in the lowest bit."""
     write_unsigned(out, number << 1 if number >= 0 else (-number << 1) - 1)
 
 
 def read_unsigned(data: Iterator[int], first_byte: int | None = None) -> int:
-    """Read what `write_unsigned` wrote. Raises StopIteration where bytes are missing.
+    """Read a number written by `write_unsigned`. Raises StopIteration if bytes are missing.
 
-    `first_byte` is the first byte where it was taken from the data before.
+    `first_byte`: the first byte of the number if the caller has already read it from `data`.
     """
     byte = next(data) if first_byte is None else first_byte
     number, shift = byte & MAX_BYTE_VALUE, BITS_PER_BYTE
@@ -37,6 +37,6 @@
 
 
 def read_signed(data: Iterator[int]) -> int:
-    """Read what `write_signed` wrote. Raises StopIteration where bytes are missing."""
+    """Read a number written by `write_signed`. Raises StopIteration if bytes are missing."""
     number = read_unsigned(data)
     return -((number + 1) >> 1) if number & 1 else number >> 1
