--- a/src/cloverplank/jobs/layout.py
+++ b/src/cloverplank/jobs/layout.py
@@ -1,8 +1,8 @@
-"""Layouts in which job records are stored: a plain one, and a compact one for records that would grow too large.
+"""Storage layouts of job records: a plain one, and a compact one for records that would become too large.
 
 The plain layout names every field. In the compact layout a job that runs on hundreds of machines takes about seven
-bytes a machine; versions before format version 1 can't read it, so it is written only where the caller allows it.
-Both are read at any time.
+bytes per machine. Versions before format version 1 can't read it, so it is written only if the caller allows it. Both
+layouts can always be read.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 from cloverplank.wire.codec import MessageDecodeError, decode, json_size
 from cloverplank.wire.users import JobSpec
 
-MAX_UNMEASURED_RUNS = 12  # a record with no more runs is stored plain without a measurement of its size
-PLAIN_FRACTION = 0.6  # of the largest value, that a plain record may take where the compact layout is allowed
+MAX_UNMEASURED_RUNS = 12  # a record with at most this many runs is stored plain without measuring its size
+MAX_PLAIN_FRACTION = 0.6  # of the value size limit; larger records are stored compact if that is allowed
 
 
 class SpecRow(JobSpec, array_like=True, frozen=True):
-    """A job's description without the names of its fields."""
+    """A job's description, encoded as an array without field names."""
 
 
 class CompactRecord(Struct, frozen=True, omit_defaults=True):
-    """A job record with its runs and done tasks packed."""
+    """A job record with its runs and done tasks packed into strings."""
 
     spec: SpecRow
     zones: list[str]
@@ -39,14 +39,14 @@
     next_attempt: int = field(name="next", default=1)
     allocation: dict[str, int] = field(default_factory=dict, name="allot")
     evictions: list[Eviction] = field(default_factory=list, name="ev")
-    submitted: int = 0  # time of day, ms
+    submitted: int = 0  # time of day, ms, as in JobRecord
 
 
 StoredRecord = JobRecord | CompactRecord
 
 
 def decode_stored(value: bytes) -> StoredRecord:
-    """Return what was stored, in whichever layout. Raises MessageDecodeError."""
+    """Decode a stored record in either layout. Raises MessageDecodeError."""
     try:
         return decode(value, JobRecord)
     except MessageDecodeError as plain_error:
@@ -57,26 +57,26 @@
 
 
 def record_of(stored: StoredRecord) -> JobRecord:
-    """Return the record that was stored. Raises MessageDecodeError."""
+    """Return the job record, unpacked if it is compact. Raises MessageDecodeError."""
     return stored if isinstance(stored, JobRecord) else unpack(stored)
 
 
 def shape_of(stored: StoredRecord) -> Shape:
-    """Return the shape of what is stored."""
+    """Return the layout of a stored record."""
     return Shape.PLAIN if isinstance(stored, JobRecord) else Shape.COMPACT
 
 
 def stored(record: JobRecord, value_bytes: int, *, compact_allowed: bool) -> StoredRecord:
-    """Return the record in the layout to store it in, so that it takes at most `value_bytes` if that is possible."""
+    """Return the record in the layout to store it in, which takes at most `value_bytes` if that is possible."""
     if not compact_allowed or len(record.runs) + len(record.done) // 2 <= MAX_UNMEASURED_RUNS:
         return record
-    if json_size(record) <= PLAIN_FRACTION * value_bytes:
+    if json_size(record) <= MAX_PLAIN_FRACTION * value_bytes:
         return record
     return pack(record) or record
 
 
 def pack(record: JobRecord) -> CompactRecord | None:
-    """Return the compact layout, None where machine names don't follow one pattern."""
+    """Return the record in the compact layout, or None if the machine names follow no common pattern."""
     pattern = name_pattern(record.runs)
     if pattern is None:
         return None
@@ -97,7 +97,7 @@
 
 
 def unpack(compact: CompactRecord) -> JobRecord:
-    """Return the record that was packed. Raises MessageDecodeError."""
+    """Return the job record of a compact one. Raises MessageDecodeError if its runs or done tasks are malformed."""
     try:
         return JobRecord(
             spec=JobSpec(*msgspec.structs.astuple(compact.spec)),
@@ -111,4 +111,6 @@
             submitted=compact.submitted,
         )
     except (IndexError, StopIteration, RuntimeError, binascii.Error, ValueError) as err:
-        raise MessageDecodeError(f"packed runs can't be read: {err}") from err
+        raise MessageDecodeError(
+            f"compact record of job {compact.spec.id}: malformed runs or done tasks: {err}"
+        ) from err
--- a/src/cloverplank/jobs/records.py
+++ b/src/cloverplank/jobs/records.py
@@ -1,7 +1,8 @@
-"""The record of a job, and every change that may be made to it.
+"""Job records and all changes that may be made to them.
 
-A change is a pure function from a record to a new record, or to None where it no longer applies. The transaction that
-carries it is conditional on the record's mod revision, so a change is always made to the record it was computed from.
+A change is a pure function that takes a record and returns the new record, or None if the change no longer applies. The
+transaction that contains it is conditional on the record's mod revision, so a change is only ever committed to the
+record it was computed from.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from cloverplank.jobs.ranges import Ranges
 from cloverplank.wire.users import JobSpec
 
-MAX_EVICTIONS = 20  # entries of a record, the newest
+MAX_EVICTIONS = 20  # per record; only the newest are kept
 
 
 class Phase(StrEnum):
@@ -30,7 +31,7 @@
 
 
 class Run(Struct, array_like=True, frozen=True):
-    """Tasks placed on one machine by one transaction. They count until they are proven to be off it."""
+    """Tasks placed on one machine by one transaction. They count until they are proven to have left the machine."""
 
     machine: str
     zone: str
@@ -39,7 +40,7 @@
 
 
 class Eviction(Struct, array_like=True, frozen=True):
-    """Tasks evicted from a tainted machine; the entry stays until as many replacements are healthy."""
+    """Tasks evicted from a tainted machine. The entry is kept until as many replacements are healthy."""
 
     machine: str
     count: int
@@ -48,23 +49,21 @@
 
 
 class JobRecord(Struct, frozen=True, omit_defaults=True, dict=True):
-    """An open job. It is frozen, so what is counted from it is cached: each scheduling cycle asks for all counts."""
+    """The record of an open job. It is immutable, so its counts are cached: each scheduling cycle reads all of them."""
 
     spec: JobSpec
-    runnable_at: int = field(name="at")  # time of day, ms: of the submission, or of the release of a blocked job
+    runnable_at: int = field(name="at")  # time of day, ms, of the submission or of a blocked job's release
     phase: Phase = Phase.OPEN
-    next_attempt: int = field(name="next", default=1)  # the attempt number that the next placement takes
+    next_attempt: int = field(name="next", default=1)  # attempt number of the next placement
     done: Ranges = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
-    allocation: dict[str, int] = field(
-        default_factory=dict, name="allot"
-    )  # zone -> tasks that may be on machines there
+    allocation: dict[str, int] = field(default_factory=dict, name="allot")  # zone -> limit of tasks placed there
     evictions: list[Eviction] = field(default_factory=list, name="ev")
-    submitted: int = 0  # time of day, ms, where the job was blocked by others after its submission
+    submitted: int = 0  # time of day, ms, of the submission if the job was blocked at first, otherwise 0
 
     @cached_property
     def submitted_at(self) -> int:
-        """Time of day, ms, from which the deadline counts; all other times count from `runnable_at`."""
+        """Time of day, ms, from which the deadline counts. All other durations count from `runnable_at`."""
         return self.submitted or self.runnable_at
 
     @cached_property
@@ -74,7 +73,7 @@
 
     @cached_property
     def runs_on(self) -> dict[str, list[Run]]:
-        """The runs by machine."""
+        """The runs by machine name."""
         by_machine: dict[str, list[Run]] = {}
         for run in self.runs:
             by_machine.setdefault(run.machine, []).append(run)
@@ -129,7 +128,7 @@
         return self._missing
 
     def held(self) -> int:
-        """Return the number of tasks that count against the quota: on machines, or allocated and yet to be placed."""
+        """Return the number of tasks that count against the quota: placed ones, and allocated ones not yet placed."""
         return self._held
 
     def finished(self) -> bool:
@@ -139,7 +138,7 @@
         return self.done_count == self.spec.tasks
 
     def run_of(self, task: TaskRef, machine: str) -> Run | None:
-        """Return the run by which a task is on a machine in this attempt, None where it is not."""
+        """Return the run that placed this attempt of a task on a machine, or None if the task is not on it."""
         for run in self.runs_on.get(machine, ()):
             if run.attempt == task.attempt and ranges.contains(run.tasks, task.index):
                 return run
@@ -147,26 +146,26 @@
 
 
 class BlockedJobRecord(Struct, frozen=True):
-    """A job that depends on others. Nothing is placed from it."""
+    """The record of a job that waits for its upstream jobs. None of its tasks is placed."""
 
     spec: JobSpec
     submitted_at: int = field(name="at")  # time of day, ms
-    upstream: list[str] = field(name="needs")  # ids of the jobs that have to be done first
+    upstream: list[str] = field(name="needs")  # ids of the jobs that must be done first
 
     def released(self, now: WallTimeMs) -> JobRecord:
-        """Return the record of the job once all its upstream jobs are done."""
+        """Return the record of the job after its release, for which all upstream jobs must be done."""
         return JobRecord(self.spec, now, submitted=self.submitted_at)
 
 
 class FinalRecord(Struct, frozen=True):
-    """What is stored of a job for ever."""
+    """The record of a finished job, which is stored indefinitely."""
 
     phase: Phase
     tasks: int
 
 
 class Placement(Struct, frozen=True):
-    """How many tasks of a job are to be placed on a machine."""
+    """The number of a job's tasks that are to be placed on a machine."""
 
     machine: MachineId
     zone: Zone
@@ -174,7 +173,7 @@
 
 
 class TaskExit(Struct, frozen=True):
-    """A task that is proven to be off its machine."""
+    """A task that is proven to have left its machine. `done`: it was successful."""
 
     index: int
     attempt: Attempt
@@ -197,18 +196,18 @@
 
 
 def allocate(wanted: Mapping[Zone, int]) -> RecordChange:
-    """Return the change that sets the leader's zone allocation.
+    """Return the change that sets the zone allocation computed by the leader.
 
     The record may have changed since the allocation was computed: tasks that were to move to another zone may have
-    been placed in the first one meanwhile. Then the job would hold more than its team's quota was charged for, so the
-    change no longer applies.
+    been placed in the first zone in the meantime. The change does not apply if the job would then hold more tasks than
+    its team's quota was charged for.
     """
     total = sum(wanted.values())
 
     def change(record: JobRecord) -> JobRecord | None:
         if record.phase is not Phase.OPEN:
             return None
-        # No less than what is placed: those tasks stay until they are proven to be off their machines.
+        # At least the placed tasks, since they count until they are proven to have left their machines.
         allocation = {zone: max(limit, record.placed(zone)) for zone, limit in wanted.items()}
         allocation = {zone: limit for zone, limit in allocation.items() if limit}
         if allocation == record.allocation:
@@ -220,15 +219,16 @@
 
 
 def zone_cap(spec: JobSpec) -> int:
-    """Return how many tasks of a job may be in one zone."""
+    """Return the maximum number of a job's tasks in one zone."""
     return (spec.tasks + 1) // 2 if spec.spread else spec.tasks
 
 
 def place(placements: list[Placement], attempt: int) -> RecordChange:
     """Return the change that places missing tasks on machines, lowest numbers first, under a new attempt number.
 
-    It applies once: a record whose next attempt is another one has this placement already, or another one that this
-    was not planned for. The job's own rules on zones are checked against the record, whatever its allocation says.
+    It applies only while `attempt` is the record's next attempt; otherwise the record already has this placement, or
+    another one that was not considered when this one was planned. The job's zone constraints are checked against the
+    record, regardless of its allocation.
     """
 
     def change(record: JobRecord) -> JobRecord | None:
@@ -256,7 +256,7 @@
 
 
 def _without_exited(runs: Iterable[Run], exited: Mapping[tuple[str, int], list[int]]) -> list[Run]:
-    """Return the runs without the exited tasks, which are given by machine and attempt."""
+    """Return the runs without the exited tasks, which are keyed by machine and attempt."""
     result = []
     for run in runs:
         numbers = exited.get((run.machine, run.attempt))
@@ -270,10 +270,10 @@
 
 
 class TaskExits:
-    """A change that takes exited tasks off their machines, and adds the successful ones to the done tasks.
+    """A change that removes exited tasks from their machines, and adds the successful ones to the done tasks.
 
-    Others may be joined to it until it is committed: one change of a hundred tasks goes through the record once, a
-    hundred changes of one task a hundred times.
+    Later exits may be joined to it until it is committed: one change with a hundred tasks iterates over the record
+    once, a hundred changes with one task each do so a hundred times.
     """
 
     def __init__(self, exits: Iterable[TaskExit]) -> None:
@@ -282,15 +282,15 @@
 
     def _add(self, exits: Iterable[TaskExit]) -> None:
         for task_exit in exits:
-            # The first exit of a task is the one that counts.
+            # Only the first exit of a task attempt counts.
             self._exits.setdefault((task_exit.machine, task_exit.attempt, task_exit.index), task_exit)
 
     def join(self, later: TaskExits) -> None:
-        """Add the exits of a later change of the same record."""
+        """Add the exits of a later change to the same record."""
         self._add(later._exits.values())
 
     def __call__(self, record: JobRecord) -> JobRecord | None:
-        """Return the record without the exited tasks, None where none of them is on its machine."""
+        """Return the record without the exited tasks, or None if none of them is on its machine."""
         exited: dict[tuple[str, int], list[int]] = {}
         done: list[int] = []
         for task_exit in self._exits.values():
@@ -309,12 +309,12 @@
 
 
 def exit_tasks(exits: list[TaskExit]) -> TaskExits:
-    """Return the change that takes exited tasks off their machines."""
+    """Return the change that removes exited tasks from their machines."""
     return TaskExits(exits)
 
 
 def evict(machine: str, now: WallTimeMs) -> RecordChange:
-    """Return the change that takes all tasks off a tainted machine, where they are proven to have ended."""
+    """Return the change that removes all tasks from a tainted machine, on which they are proven to have ended."""
 
     def change(record: JobRecord) -> JobRecord | None:
         evicted = record.placed_on(machine)
@@ -330,7 +330,7 @@
 
 
 def drop_evictions(now: WallTimeMs, max_age_ms: int, *, replaced: bool) -> RecordChange:
-    """Return the change that drops eviction entries: all once tasks are `replaced`, else those that are too old."""
+    """Return the change that drops eviction entries: all if the tasks are `replaced`, otherwise expired ones."""
 
     def change(record: JobRecord) -> JobRecord | None:
         left = [] if replaced else [entry for entry in record.evictions if now - entry.evicted_at < max_age_ms]
--- a/src/cloverplank/jobs/shapes.py
+++ b/src/cloverplank/jobs/shapes.py
@@ -1,4 +1,4 @@
-"""The shapes in which job records are stored, and when the compact one may be written."""
+"""Kinds of storage layouts of job records, and whether the compact layout may be written."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class Shape(Enum):
-    """A stored shape of job records."""
+    """A storage layout of job records."""
 
-    PLAIN = "plain"  # every field by its name
-    COMPACT = "compact"  # runs and done tasks packed
+    PLAIN = "plain"  # every field is encoded with its name
+    COMPACT = "compact"  # runs and done tasks are packed into strings
 
 
 class CompactUse(Enum):
-    """What the cluster version allows for the compact shape."""
+    """To what extent the cluster version allows records in the compact layout."""
 
     NEVER = "never"
     ALLOWED = "allowed"
-    LEAVING = "leaving"  # no record becomes compact; one that is compact and fits in no other way stays so
+    LEAVING = "leaving"  # no record becomes compact; a compact one that is too large for the plain layout stays compact
--- a/src/cloverplank/jobs/size_limits.py
+++ b/src/cloverplank/jobs/size_limits.py
@@ -1,4 +1,4 @@
-"""How large job records may get, and on how many more machines a job may be placed within that."""
+"""Size limits of stored job records, and how many more machines a job may use within them."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 from cloverplank.jobs.shapes import Shape
 from cloverplank.wire.codec import json_size
 
-MAX_UNMEASURED_PLAIN_RUNS = 40  # fit in any plain value
-PLAIN_RUN_BYTES = 64  # of a plain record, with the ranges of done tasks that the run leaves
-COMPACT_RUN_BYTES = 11  # the same of a compact record: up to eight for the run, three for its tasks once done
-PLACEMENT_FRACTION = 0.85  # of a value, that placements may take; the rest is for other changes of the record
+MAX_UNMEASURED_PLAIN_RUNS = 40  # so many runs fit in any plain record
+PLAIN_RUN_BYTES = 64  # per run of a plain record, with the ranges of done tasks that the run leaves
+COMPACT_RUN_BYTES = 11  # per run of a compact record: up to 8 for the run, 3 for its tasks once done
+PLACEMENT_FRACTION = 0.85  # of the size limit; the rest is left for other changes of the record
 
 
-def _never(job: JobId) -> bool:
+def _never_stays_compact(job: JobId) -> bool:
     return False
 
 
 class RecordSizeLimits(Struct, frozen=True):
-    """The size that stored values may have now, and the lowest that a coming change of the limits allows.
+    """The current size limit of stored values, and the lowest one that a coming change of the limits may set.
 
-    `compact_allowed` returns whether the compact layout may be written. `may_stay_compact` returns whether a record
-    that fits in no other layout stays compact although it may not be written.
+    `compact_allowed` returns whether records may become compact. `may_stay_compact` returns whether a record that is
+    too large for the plain layout stays compact although `compact_allowed` returns False.
     """
 
     value_bytes: int
     lowest_value_bytes: int
     compact_allowed: Callable[[], bool]
-    may_stay_compact: Callable[[JobId], bool] = _never
+    may_stay_compact: Callable[[JobId], bool] = _never_stays_compact
 
     def shape(self, record: JobRecord) -> Shape:
-        """Return the shape that the record is to be stored in."""
+        """Return the kind of the layout that the record is to be stored in."""
         return layout.shape_of(self.stored(record))
 
     def stored(self, record: JobRecord) -> StoredRecord:
@@ -45,7 +45,7 @@
         allowed = self.compact_allowed() or self._stays_compact(record)
         stored = layout.stored(record, self.lowest_value_bytes, compact_allowed=allowed)
         if allowed and record.evictions and not self._fits(stored):
-            # Eviction entries determine how soon old copies are stopped; no guarantee rests on them.
+            # Eviction entries only determine how soon old copies of tasks are stopped; no guarantee depends on them.
             record = msgspec.structs.replace(record, evictions=[])
             return layout.stored(record, self.lowest_value_bytes, compact_allowed=allowed)
         return stored
@@ -57,17 +57,17 @@
         return not isinstance(stored, CompactRecord) or json_size(stored) <= self.lowest_value_bytes
 
     def remaining_runs(self, record: JobRecord) -> int:
-        """Return on how many more machines tasks of the job may be placed."""
+        """Return the number of further machines on which tasks of the job may be placed."""
         if self.compact_allowed():
-            return self._compact_runs_left(record)
-        if self._has_few_runs(record) and self.lowest_value_bytes == self.value_bytes:
+            return self._remaining_compact_runs(record)
+        if self._fits_unmeasured(record) and self.lowest_value_bytes == self.value_bytes:
             return MAX_UNMEASURED_PLAIN_RUNS
         return int((self.value_bytes * PLACEMENT_FRACTION - json_size(record)) / PLAIN_RUN_BYTES)
 
-    def _has_few_runs(self, record: JobRecord) -> bool:
+    def _fits_unmeasured(self, record: JobRecord) -> bool:
         return len(record.runs) + record.missing_count() <= MAX_UNMEASURED_PLAIN_RUNS
 
-    def _compact_runs_left(self, record: JobRecord) -> int:
+    def _remaining_compact_runs(self, record: JobRecord) -> int:
         available_bytes = self.lowest_value_bytes * PLACEMENT_FRACTION
         packed = layout.pack(record)
         if packed is None:
--- a/src/cloverplank/jobs/store.py
+++ b/src/cloverplank/jobs/store.py
@@ -1,8 +1,8 @@
-"""The open jobs as this controller knows them, with the changes it wants to make.
+"""Cache of the open jobs, with the pending changes of this controller.
 
-For each job there is the committed record and the staged one: the committed record with this controller's own pending
-changes applied. Free capacity of machines is computed from staged records; quotas count the larger of the two, since a
-pending change may yet fail.
+Each job has a committed record and a staged one, which is the committed record with this controller's own pending
+changes applied. Free capacity of machines is computed from staged records. Quotas count the larger of the two, since a
+pending change may still fail.
 """
 
 from __future__ import annotations
@@ -22,32 +22,32 @@
 
 
 class ChangeOutcome(Enum):
-    """What became of a pending change."""
+    """The outcome of a pending change."""
 
     COMMITTED = "committed"
-    NOT_APPLICABLE = "not applicable"  # the record has changed meanwhile, or the store rejects the change
+    NOT_APPLICABLE = "not applicable"  # the record has changed since, or the key-value store rejects the change
     CONFLICT = "conflict"  # a key that the change is conditional on has changed
 
 
 class Decision(Enum):
-    """A decision of which each job has one pending at a time."""
+    """A kind of scheduling decision, of which each job has at most one pending at a time."""
 
     ALLOCATION = "allocation"
     PLACEMENT = "placement"
 
 
 class PendingChange(Struct, eq=False):
-    """A change that is not committed yet; it is merged with the others of its job."""
+    """A change that is not committed yet; it is merged with the other pending changes of its job."""
 
     change: RecordChange
     priority: int
-    ready_at: MonotonicTime  # it is not sent before
+    ready_at: MonotonicTime  # it is not sent before this time
     conditions: list[Compare] = field(default_factory=list)
     future: Future[ChangeOutcome] | None = None
-    decision: Decision | None = None  # the one that it carries out
+    decision: Decision | None = None  # the decision that the change carries out
 
     def settle(self, outcome: ChangeOutcome) -> None:
-        """Give the outcome to the coroutine that waits for it."""
+        """Pass the outcome to the coroutine that waits for it."""
         if self.future is not None and not self.future.done():
             self.future.set_result(outcome)
 
@@ -61,12 +61,12 @@
     staged: JobRecord
     pending: list[PendingChange] = field(default_factory=list)
     in_flight: bool = False
-    stale: bool = False  # a transaction on this key conflicted: it is read again before the next one
-    rejections: int = 0  # transactions in a row that the store called malformed or too large
-    retry_at: MonotonicTime = MonotonicTime(0.0)  # no transaction is sent before
+    stale: bool = False  # a transaction on the key conflicted: the key is read again before the next one
+    rejections: int = 0  # consecutive transactions rejected by the store as malformed or too large
+    retry_at: MonotonicTime = MonotonicTime(0.0)  # no transaction is sent before this time
 
     def has_pending(self, *decisions: Decision) -> bool:
-        """Return whether a change that carries out one of these decisions is pending."""
+        """Return whether a change for one of these decisions is pending."""
         return any(pending.decision in decisions for pending in self.pending)
 
     def held(self) -> int:
@@ -75,7 +75,7 @@
 
 
 class Load(Struct, frozen=True):
-    """What the staged records put on one machine."""
+    """The resources and images that the staged records use on one machine."""
 
     cpus: float = 0.0
     gpus: float = 0.0
@@ -88,7 +88,7 @@
 
 
 def _ignore_job_change(view: CachedJob | None, job: JobId) -> None:
-    """Do nothing: the default for a store without a listener."""
+    """Do nothing. The default listener."""
 
 
 def _never_complete() -> MonotonicTime:
@@ -98,8 +98,8 @@
 class JobStore:
     """Open jobs by id, with an index by machine.
 
-    `changed` is called after each change of a job, with None in the place of a job that was removed. `complete_until`
-    returns the moment before which every committed change is here.
+    `changed` is called after each change of a job, with None as the cached job if the job was removed.
+    `complete_until` returns the time up to which the store contains every committed change.
     """
 
     def __init__(
@@ -110,11 +110,11 @@
     ) -> None:
         self.jobs: dict[JobId, CachedJob] = {}
         self.by_machine: dict[MachineId, set[JobId]] = {}
-        self._loads: dict[MachineId, Load] = {}  # cached until a change of a job on the machine
+        self._loads: dict[MachineId, Load] = {}  # cached until a job on the machine changes
         self._changes = 0
         self._change_counts: dict[MachineId, int] = {}
-        self._default_change_count = 0  # of machines that are not in the dictionary any more
-        self._gossiped_cancellations: dict[JobId, MonotonicTime] = {}  # with the time at which the gossip came
+        self._default_change_count = 0  # of machines that are not in `_change_counts`
+        self._gossiped_cancellations: dict[JobId, MonotonicTime] = {}  # with the time of receipt
         self._complete_until = complete_until
         self._changed = changed
 
@@ -128,10 +128,10 @@
     # -- cancellations by gossip
 
     def note_gossiped_cancellation(self, job: JobId, now: MonotonicTime) -> None:
-        """Note that a peer says that the job's cancellation is committed.
+        """Record that a peer has reported the job's cancellation as committed.
 
-        Its tasks are stopped and none is started, without waiting for the watch. Nothing else rests on it: the record
-        stays as it is.
+        Its tasks are stopped and no more are started, without waiting for the watch. It has no other effect: the record
+        is not changed.
         """
         view = self.jobs.get(job)
         if job in self._gossiped_cancellations or (view is not None and view.record.phase is not Phase.OPEN):
@@ -145,26 +145,26 @@
             self._changed(view, job)
 
     def cancelled_by_gossip(self, job: JobId) -> bool:
-        """Return whether the job counts as cancelled by gossip alone.
+        """Return whether the job counts as cancelled because of gossip alone.
 
-        What a peer says was committed before. Once every change of that time is here, the record is right by itself,
-        and wrong gossip has no effect any more.
+        A cancellation is committed before a peer reports it. Once the store contains every change committed by the time
+        of receipt, the record is up to date without the gossip, and a false report no longer has any effect.
         """
         gossiped_at = self._gossiped_cancellations.get(job)
         return gossiped_at is not None and self._complete_until() <= gossiped_at
 
     def should_run(self, view: CachedJob) -> bool:
-        """Return whether tasks of the job may be started, and those that run go on."""
+        """Return whether tasks of the job may be started and running ones continue."""
         return view.record.phase is Phase.OPEN and not self.cancelled_by_gossip(view.id)
 
     # -- machines
 
     def jobs_on(self, machine: MachineId) -> list[CachedJob]:
-        """Return the jobs that have tasks on the machine, as staged or as committed."""
+        """Return the jobs that have tasks on the machine in their staged or committed record."""
         return [self.jobs[job] for job in self.by_machine.get(machine, ()) if job in self.jobs]
 
     def load(self, machine: MachineId) -> Load:
-        """Return what the staged records put on the machine."""
+        """Return the load of the staged records on the machine."""
         load = self._loads.get(machine)
         if load is not None:
             return load
@@ -188,7 +188,7 @@
         return Load(cpus, gpus, memory_gb, total_tasks, frozenset(images))
 
     def change_count(self, machine: MachineId) -> int:
-        """Return a number that differs after each change of a record that has, or had, tasks on the machine."""
+        """Return a number that changes with each change of a record that has or had tasks on the machine."""
         return self._change_counts.get(machine, self._default_change_count)
 
     def _count_change(self, machine: MachineId) -> None:
@@ -200,10 +200,11 @@
         self._change_counts[machine] = self._changes
 
     def _index(self, view: CachedJob, record: JobRecord | None, staged: JobRecord | None) -> None:
-        """Update the index and the change counts after a change of a job that was `record` and `staged` before.
+        """Update the index and the change counts after a change of a job.
 
-        Only machines on which the job has changed count: a commit of one task of a large array must not count as a
-        change of all machines that the others are on.
+        `record` and `staged` are the job's records before the change. Only machines on which the job has changed are
+        counted: a commit of one task of a large array must not count as a change of every machine that runs other tasks
+        of the array.
         """
         is_removed = self.jobs.get(view.id) is not view
         runs_before, staged_before = _runs_on(record), _runs_on(staged)
@@ -241,7 +242,10 @@
         view.staged = staged
 
     def apply(self, job: JobId, record: JobRecord, mod_revision: ModRevision) -> None:
-        """Add a committed record from a watch, a read or an own transaction, unless a newer one is here already."""
+        """Add or replace a committed record, unless the cached one is as new.
+
+        The record comes from a watch, a read or a transaction of this controller.
+        """
         view = self.jobs.get(job)
         if view is None:
             view = self.jobs[job] = CachedJob(job, record, mod_revision, record)
@@ -275,12 +279,12 @@
         if after.runs is view.staged.runs:
             view.staged = after
             return
-        # With the staged record of before, so that the index also loses the machines that it is not on any more.
+        # Pass the previous staged record, so that machines that the job has left are removed from the index.
         staged_before, view.staged = view.staged, after
         self._index(view, view.record, staged_before)
 
     def unstage(self, view: CachedJob, settled: list[PendingChange]) -> None:
-        """Take pending changes out of the staged record."""
+        """Remove settled changes and compute the staged record from the others."""
         staged_before = view.staged
         view.pending = [pending for pending in view.pending if not any(pending is each for each in settled)]
         self._restage(view)
@@ -289,10 +293,10 @@
 
 
 def _join_last(view: CachedJob, pending: PendingChange) -> bool:
-    """Join task exits to the last pending change if it consists of such, too. Return whether that was possible.
+    """Join task exits to the last pending change if it consists of task exits too. Return whether that was possible.
 
-    Else a record would be gone through once for each exit, and again for each change of it. What is part of a
-    transaction in flight stays as it is.
+    Otherwise each exit would iterate over the record, and do so again after each change of the record. Changes that are
+    part of a transaction in flight are not modified.
     """
     if view.in_flight or not view.pending:
         return False
