--- a/src/cloverplank/scheduling/__init__.py
+++ b/src/cloverplank/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Pure scheduling decisions: queue order, quotas, free capacity, bin packing and headroom."""
+"""Scheduling decisions without I/O: admission, queue order, quotas, free capacity, bin packing and headroom."""
--- a/src/cloverplank/scheduling/admission.py
+++ b/src/cloverplank/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether a job can ever run, by what does not change."""
+"""Admission control: whether a job can ever run, judged by the quotas, machine types and zones alone."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def refusal(spec: JobSpec, limits: Mapping[str, Quota], types: Iterable[MachineType], zones: Collection[str]) -> str:
-    """Return why the job can never run; an empty string if it can. `limits`: the teams' quotas.
+    """Return the reason why a job can never run, or an empty string if it can. `limits`: the teams' quotas.
 
-    Each task of an array runs by itself; all tasks of a service or a gang run at the same time.
+    Tasks of an array run independently of each other; all tasks of a service or a gang run at the same time.
     """
     quota = limits.get(spec.team)
     if quota is None:
--- a/src/cloverplank/scheduling/capacity.py
+++ b/src/cloverplank/scheduling/capacity.py
@@ -12,14 +12,14 @@
 from cloverplank.wire.users import JobSpec
 
 EPSILON = 1e-6
-FULL_VISITS_PER_MACHINE = 1 / 8  # full machines are removed from the lists after so many visits to them
+FULL_VISITS_PER_MACHINE = 1 / 8  # visits to full machines, per machine, after which full ones are removed
 
-# Zone, whether the machines are up, and whether they are spot instances. A plain tuple, since it is made for each job.
+# Zone, whether the machines are up, and whether they are spot instances. A plain tuple, since it is created per job.
 GroupKey = tuple[Zone, bool, bool]
 
 
 class FreeCapacity(Struct, eq=False):
-    """What one machine has left for new tasks."""
+    """The free capacity of one machine for new tasks."""
 
     machine: MachineId
     zone: Zone
@@ -31,11 +31,11 @@
     images: Collection[str] = frozenset()
     empty: bool = True
     real: bool = True  # the machine is up
-    used: bool = False  # tasks were allocated here in this scheduling cycle
-    reserved: bool = False  # for important work, since the machine's zone recovers from a loss
+    used: bool = False  # tasks were allocated on the machine in this scheduling cycle
+    reserved: bool = False  # for important jobs, while the machine's zone recovers from a loss
 
     def allocate(self, spec: JobSpec, tasks: int) -> None:
-        """Take the capacity for a number of a job's tasks."""
+        """Subtract the resources of a number of a job's tasks."""
         self.cpus -= spec.cpus * tasks
         self.gpus -= spec.gpus * tasks
         self.memory_gb -= spec.memory_gb * tasks
@@ -44,7 +44,7 @@
 
 
 def matches_constraints(spec: JobSpec, type_name: str, zone: str, *, spot: bool) -> bool:
-    """Return whether a job may use a machine of this type and zone, spot or on-demand."""
+    """Return whether a job's constraints allow a machine of this type and zone, spot or on-demand."""
     return (
         (spec.types is None or type_name in spec.types)
         and (spec.zone is None or spec.zone == zone)
@@ -53,7 +53,7 @@
 
 
 def tasks_that_fit(spec: JobSpec, cpus: float, gpus: float, memory_gb: float) -> int:
-    """Return how many of the job's tasks fit."""
+    """Return how many of the job's tasks fit into the given resources."""
     tasks = spec.tasks
     for requested, available in ((spec.cpus, cpus), (spec.gpus, gpus), (spec.memory_gb, memory_gb)):
         if requested > 0:
@@ -62,7 +62,7 @@
 
 
 def fit_count(spec: JobSpec, capacity: FreeCapacity) -> int:
-    """Return how many of the job's tasks fit on a machine that the job may use, 0 on any other."""
+    """Return how many of the job's tasks fit on a machine, 0 if the job's constraints exclude the machine."""
     if not matches_constraints(spec, capacity.type, capacity.zone, spot=capacity.spot):
         return 0
     return tasks_that_fit(spec, capacity.cpus, capacity.gpus, capacity.memory_gb)
@@ -71,11 +71,12 @@
 class CapacityIndex:
     """Free capacity of machines in one scheduling cycle, by zone.
 
-    Three things spare a pass over all machines for each job. Machines are sorted once, by how full they are at the
-    start of the cycle, and visited only until a job has what it wants. Machines that have become full are removed from
-    time to time. And capacity only shrinks during a cycle, so a job that found none is remembered: a job that may use
-    the same machines and needs as much or more finds none either. One thing grows: an on-demand machine that is no
-    longer idle is open to all jobs, so those that were kept from idle ones are forgotten when one is taken.
+    Three optimizations avoid an iteration over all machines for each job. Machines are sorted once, by how full they
+    are at the start of the cycle, and visited only until a job has enough capacity. Machines that have become full are
+    removed from time to time. Capacity only shrinks during a cycle, so jobs that found none are cached: a job that may
+    use the same machines and needs as much or more finds none either. The exception is an idle on-demand machine, which
+    becomes open to all jobs once it is in use: when one is allocated, the cached jobs that were not allowed to use idle
+    machines are discarded.
     """
 
     def __init__(
@@ -86,8 +87,8 @@
     ) -> None:
         """Index the machines' free capacity.
 
-        `min_cpus`: machines with less left are skipped, since no task of this cycle can use them. `may_use_reserved`:
-        jobs that may use reserved capacity.
+        `min_cpus`: machines with fewer free cpus are skipped, since no task of this cycle can use them.
+        `may_use_reserved`: returns whether a job may use reserved capacity.
         """
         self._min_cpus = min_cpus
         self._may_use_reserved = may_use_reserved
@@ -104,20 +105,20 @@
         return iter(self.by_name.values())
 
     def copy(self) -> CapacityIndex:
-        """Return an index of copies, which can be allocated independently."""
-        return self._replaced(copy(capacity) for capacity in self)
+        """Return an index of copied capacities, which can be allocated independently of this one."""
+        return self._with_capacities(copy(capacity) for capacity in self)
 
     def without(self, machine: MachineId) -> CapacityIndex:
         """Return an index of the other machines, which shares their capacity with this one."""
-        return self._replaced(capacity for capacity in self if capacity.machine != machine)
+        return self._with_capacities(capacity for capacity in self if capacity.machine != machine)
 
-    def _replaced(self, capacities: Iterable[FreeCapacity]) -> CapacityIndex:
-        """Return an index of other capacities for the same cycle, those that have become full included."""
+    def _with_capacities(self, capacities: Iterable[FreeCapacity]) -> CapacityIndex:
+        """Return an index of other capacities for the same cycle, including those that have become full."""
         result = CapacityIndex(capacities, may_use_reserved=self._may_use_reserved)
         result._min_cpus = self._min_cpus
         return result
 
-    def _sort(self) -> dict[GroupKey, list[FreeCapacity]]:
+    def _sort_into_groups(self) -> dict[GroupKey, list[FreeCapacity]]:
         groups = self._groups = {}
         fullest_first = sorted(self.by_name.values(), key=lambda c: (c.empty, c.cpus, c.machine))
         for capacity in fullest_first:
@@ -129,7 +130,7 @@
         return capacity.cpus + EPSILON < self._min_cpus
 
     def _remove_full(self) -> None:
-        """Remove full machines from the lists once enough visits were lost on them to pay for it."""
+        """Remove full machines from the lists once the visits wasted on them outweigh the cost of the removal."""
         if self._groups is None or self._full_visits < len(self.by_name) * FULL_VISITS_PER_MACHINE:
             return
         self._full_visits = 0
@@ -148,8 +149,8 @@
         return capacities
 
     def _in_order(self, spec: JobSpec, zone: Zone) -> Iterator[FreeCapacity]:
-        """Yield machines in order: up ones, spot ones if the job may use them, those with its image, the fullest."""
-        groups = self._groups if self._groups is not None else self._sort()
+        """Yield machines in order of preference: up, spot if the job allows it, with the job's image, fullest."""
+        groups = self._groups if self._groups is not None else self._sort_into_groups()
         for real in (True, False):
             for spot in (True, False) if spec.spot else (False, True):
                 if (zone, real, spot) not in groups:
@@ -160,15 +161,16 @@
                         yield capacity
 
     def candidates(self, spec: JobSpec, zone: Zone, *, urgent: bool = True) -> Iterator[FreeCapacity]:
-        """Yield the machines with capacity for a task, in the order in which they are tried.
+        """Yield the machines with capacity for a task of the job, in order of preference.
 
-        A job that is not urgent uses no empty on-demand machine: bursts would keep them from ever being idle.
+        A spot job that is not urgent uses no empty on-demand machine, since bursts would keep those machines from ever
+        becoming idle.
         """
         may_use_idle = urgent or not spec.spot
         may_use_reserved = self._may_use_reserved(spec)
         unplaceable = self._unplaceable.setdefault((zone, may_use_idle, may_use_reserved), [])
         for other in unplaceable:
-            if _no_easier(spec, other):
+            if _at_least_as_demanding(spec, other):
                 return
         cpus, memory_gb = spec.cpus - EPSILON, spec.memory_gb - EPSILON
         self._remove_full()
@@ -189,7 +191,7 @@
             unplaceable.append(spec)
 
     def count_fitting(self, spec: JobSpec, zone: Zone, max_tasks: int, *, urgent: bool = True) -> int:
-        """Return for how many tasks of a job there is capacity, `max_tasks` at most."""
+        """Return for how many tasks of a job the zone has capacity, at most `max_tasks`."""
         tasks = 0
         for capacity in self.candidates(spec, zone, urgent=urgent):
             tasks += fit_count(spec, capacity)
@@ -198,7 +200,7 @@
         return tasks
 
     def allocate(self, machine: MachineId, spec: JobSpec, tasks: int) -> None:
-        """Take the capacity for a number of a job's tasks on a machine."""
+        """Allocate capacity of a machine for a number of a job's tasks."""
         capacity = self.by_name[machine]
         if capacity.empty and not capacity.spot:
             for may_use_reserved in (True, False):
@@ -214,9 +216,9 @@
         urgent: bool = True,
         allowed: Callable[[FreeCapacity], bool] | None = None,
     ) -> list[Placement]:
-        """Allocate capacity of a zone for up to `max_tasks` tasks of a job and return where.
+        """Allocate capacity of a zone for up to `max_tasks` tasks of a job and return the placements.
 
-        `allowed`: the machines that may be used, all if None.
+        `allowed`: returns whether a machine may be used; None allows all machines.
         """
         result: list[Placement] = []
         if max_tasks <= 0:
@@ -233,8 +235,8 @@
         return result
 
 
-def _no_easier(spec: JobSpec, other: JobSpec) -> bool:
-    """Return whether a task of `spec` finds no capacity where one of `other` found none."""
+def _at_least_as_demanding(spec: JobSpec, other: JobSpec) -> bool:
+    """Return whether a task of `spec` can't find capacity where a task of `other` found none."""
     return (
         spec.cpus >= other.cpus
         and spec.memory_gb >= other.memory_gb
--- a/src/cloverplank/scheduling/capacity_cache.py
+++ b/src/cloverplank/scheduling/capacity_cache.py
@@ -1,4 +1,4 @@
-"""Free capacity of machines, computed again only where something has changed."""
+"""Cache of the machines' free capacity, which is computed again only for machines that have changed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     images: Collection[str] = frozenset(),
     real: bool = True,
 ) -> FreeCapacity:
-    """Return a machine's size less all tasks that are on it by the staged records. `real`: the machine is up."""
+    """Return a machine's size minus all tasks that the staged records place on it. `real`: the machine is up."""
     load = store.load(name)
     return FreeCapacity(
         machine=name,
@@ -42,7 +42,7 @@
 
 
 class _CachedCapacity(Struct, frozen=True):
-    """A machine's free capacity with what it was computed from."""
+    """A machine's free capacity with the inputs that it was computed from."""
 
     load: Load
     images: frozenset[str]
@@ -51,7 +51,7 @@
 
 
 class CapacityCache:
-    """Keeps the free capacity of machines between scheduling cycles, in most of which most machines are unchanged."""
+    """Caches the free capacity of machines between scheduling cycles, in most of which most machines don't change."""
 
     def __init__(self, store: JobStore) -> None:
         self._store = store
@@ -60,7 +60,7 @@
     def capacity(
         self, name: MachineId, zone: Zone, machine_type: MachineType, *, spot: bool, images: frozenset[str]
     ) -> FreeCapacity:
-        """Return a copy of the machine's free capacity, which the caller may allocate."""
+        """Return a copy of the machine's free capacity, from which the caller may allocate."""
         load = self._store.load(name)
         cached = self._cached.get(name)
         if (
--- a/src/cloverplank/scheduling/headroom.py
+++ b/src/cloverplank/scheduling/headroom.py
@@ -1,4 +1,4 @@
-"""Headroom: capacity kept free for job classes whose tasks should start at once, sized by recent arrivals."""
+"""Headroom: capacity kept free for job classes whose tasks should start immediately, sized by recent arrivals."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 from cloverplank.scheduling.queue import QueuedJob
 from cloverplank.wire.users import JobSpec
 
-MAX_ARRIVALS = 40  # remembered for each class
-MAX_SEEN_IDS = 2000  # remembered for each class
+MAX_ARRIVALS = 40  # per class
+MAX_SEEN_IDS = 2000  # per class
 MIN_QUIET_MS = 60_000
-QUIET_GAPS = 4
-SIZE_FACTOR = 2  # headroom in mean job sizes
-ARRAY_FRACTION = 0.6  # arrays get less headroom: they can preempt lower ranks, and end soon
+QUIET_GAPS = 4  # a class is quiet after so many times the mean gap between its arrivals
+SIZE_FACTOR = 2  # headroom as a multiple of the mean job size
+ARRAY_FRACTION = 0.6  # arrays get less headroom, since they can preempt lower ranks and end soon
 
 
 class ArrivalHistory(Struct, eq=False):
-    """The latest jobs of a class."""
+    """The most recent jobs of a class."""
 
     seen: OrderedDict[str, None] = field(default_factory=OrderedDict)
     sizes: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_ARRIVALS))
     times: deque[int] = field(default_factory=lambda: deque(maxlen=MAX_ARRIVALS))  # time of day, ms
     specs: deque[JobSpec] = field(default_factory=lambda: deque(maxlen=MAX_ARRIVALS))
 
-    def quiet(self, now: WallTimeMs) -> bool:
-        """Return whether nothing has arrived for far longer than usual, so that no job is expected soon."""
+    def is_quiet(self, now: WallTimeMs) -> bool:
+        """Return whether no job has arrived for far longer than usual, so that none is expected soon."""
         mean_gap_ms = (self.times[-1] - self.times[0]) / max(1, len(self.times) - 1)
         return now - self.times[-1] > max(MIN_QUIET_MS, QUIET_GAPS * mean_gap_ms)
 
 
 class Headroom:
-    """Sizes the headroom of the classes that the users' objectives ask to start at once.
+    """Sizes the headroom of the job classes that should start immediately according to the users' objectives.
 
-    `factor`: by which it is scaled. `min_tasks`: for each class, before scaling.
+    `factor` scales the headroom. `min_tasks` is the minimum for each class, in tasks, before scaling.
     """
 
     def __init__(self, classes: set[str], factor: float, min_tasks: float) -> None:
@@ -49,11 +49,11 @@
         self._arrivals: dict[str, ArrivalHistory] = {}
 
     def serves(self, spec: JobSpec) -> bool:
-        """Return whether headroom is kept for jobs like this."""
+        """Return whether headroom is kept for jobs of this class."""
         return spec.job_class in self._classes
 
     def observe(self, record: JobRecord) -> None:
-        """Note the arrival of a job; later calls for the same job change nothing."""
+        """Record the arrival of a job; further calls for the same job have no effect."""
         spec = record.spec
         if not self.serves(spec):
             return
@@ -68,10 +68,10 @@
         arrivals.specs.append(spec)
 
     def queued_jobs(self, now: WallTimeMs) -> list[QueuedJob]:
-        """Return placeholder jobs, which are as large as what should fit at any time."""
+        """Return placeholder jobs, which are as large as the capacity that should be free at any time."""
         result = []
         for job_class, arrivals in sorted(self._arrivals.items()):
-            if not arrivals.quiet(now):
+            if not arrivals.is_quiet(now):
                 result += self._placeholders(job_class, arrivals)
         return result
 
@@ -80,7 +80,7 @@
         factor = self._factor if arrivals.specs[-1].service else self._factor * ARRAY_FRACTION
         total = math.ceil(factor * max(self._min_tasks, SIZE_FACTOR * mean_size))
         result = []
-        # By image, the most frequent first: capacity where the image is cached saves a pull.
+        # By image, the most frequent first, since capacity on machines that have the image cached saves a pull.
         images = Counter(spec.image for spec in arrivals.specs).most_common(total)
         for number, (image, arrived) in enumerate(images):
             share = factor * SIZE_FACTOR * mean_size * arrived / len(arrivals.specs)
@@ -96,7 +96,7 @@
         return result
 
     def reserve(self, capacity_index: CapacityIndex, zone: Zone, now: WallTimeMs) -> CapacityIndex:
-        """Return a copy of the capacity without the headroom of the zone."""
+        """Return a copy of the index from which the headroom of the zone is subtracted."""
         spare = capacity_index.copy()
         for queued_job in self.queued_jobs(now):
             spare.fill(queued_job.record, zone, queued_job.record.spec.tasks)
--- a/src/cloverplank/scheduling/objectives.py
+++ b/src/cloverplank/scheduling/objectives.py
@@ -1,4 +1,4 @@
-"""Service-level objectives: by when jobs should be done, and how long they can still wait."""
+"""Service-level objectives: when jobs should be done, and how long they can still wait before they start."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from cloverplank.jobs.dependencies import ESTIMATE_FACTOR, RANKS, EffectivePriority, own_priority
 from cloverplank.jobs.records import JobRecord
 
-NO_OBJECTIVE_MS = 60_000  # a job without any objective waits this long for spot capacity
+NO_OBJECTIVE_MS = 60_000  # maximum wait for spot capacity of a job without objectives
 
 
 class ServiceLevelObjectives(Struct, frozen=True):
-    """By when jobs should be done.
+    """The objectives for when jobs should be done.
 
-    `finish_within`: seconds by job class. `patience`: the fraction of its time for which a job may wait for spot
-    capacity. `priority_of`: a job's effective priority.
+    `finish_within`: objectives in seconds, by job class. `patience`: the fraction of its time that a job may spend
+    waiting for spot capacity. `priority_of`: returns the effective priority of a job.
     """
 
     finish_within: dict[str, list[float]]
@@ -25,20 +25,20 @@
     priority_of: Callable[[JobRecord], EffectivePriority] = own_priority
 
     def all(self, record: JobRecord) -> list[float]:
-        """Return the job's objectives in seconds from when it could run, the tightest first."""
+        """Return the job's objectives in seconds from the time at which it became runnable, the tightest first."""
         due_at = self.priority_of(record).due_at
         due = [] if due_at is None else [(due_at - record.runnable_at) / MS_PER_SECOND]
         return sorted([*due, *self.finish_within.get(record.spec.job_class, ())])
 
     def remaining_times(self, record: JobRecord, now: WallTimeMs) -> list[float]:
-        """Return for each objective the seconds that the job can still wait before it starts."""
+        """Return for each objective how many seconds the job can still wait before it starts."""
         used_s = (now - record.runnable_at) / MS_PER_SECOND + record.spec.estimate_s * ESTIMATE_FACTOR
         return [objective - used_s for objective in self.all(record)]
 
     def time_left(self, record: JobRecord, now: WallTimeMs) -> float | None:
-        """Return the seconds that a job can still wait and meet its next objective, or None without objectives.
+        """Return how many seconds a job can wait and still meet its next objective, or None without objectives.
 
-        It is negative for a job that is too late for all of them, counted from the last one.
+        The value is negative for a job that is too late for all objectives; it then refers to the last one.
         """
         remaining_times = self.remaining_times(record, now)
         if not remaining_times:
@@ -46,7 +46,7 @@
         return next((remaining for remaining in remaining_times if remaining >= 0), remaining_times[-1])
 
     def urgent(self, record: JobRecord, now: WallTimeMs) -> bool:
-        """Return whether the job should no longer wait for spot capacity."""
+        """Return whether the job should stop waiting for spot capacity."""
         spec = record.spec
         if not spec.spot or self.priority_of(record).rank <= RANKS["urgent"]:
             return True
--- a/src/cloverplank/scheduling/queue.py
+++ b/src/cloverplank/scheduling/queue.py
@@ -1,4 +1,4 @@
-"""Scheduling order: in which order open jobs are served."""
+"""Scheduling order of open jobs."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 OVERDUE_MS = 100_000
 FAR_OVERDUE_MS = 160_000
 
-# Levels of `QueuedJob.overdue`.
+# Levels of `QueuedJob.overdue`
 NOT_OVERDUE = 0
-OVERDUE = 1  # served as if guaranteed
-FAR_OVERDUE = 2  # served before all others
+OVERDUE = 1  # scheduled like guaranteed jobs
+FAR_OVERDUE = 2  # scheduled before all other jobs
 
 
 class QueuedJob(Struct, eq=False):
-    """An open job with what decides its place in the scheduling order."""
+    """An open job with the attributes that determine its position in the scheduling order."""
 
     record: JobRecord
     guaranteed: bool  # within its team's guaranteed quota
     headroom: bool = False  # a placeholder for headroom, not a job
-    finish: float = 0.0  # when it could be done at the earliest, time of day in ms
+    finish: float = 0.0  # earliest time at which it could be done, time of day in ms
     urgent: bool = True  # no longer waits for spot capacity
     overdue: int = NOT_OVERDUE
-    held: bool = False  # waits while more important work of a lost zone lacks capacity
-    effective_priority: EffectivePriority | None = None  # with what its dependents pass on; None: its own priority
+    held: bool = False  # waits while more important jobs of a lost zone lack capacity
+    effective_priority: EffectivePriority | None = None  # with inheritance from dependents; None: the own one
 
     @property
     def rank(self) -> int:
-        """The rank that it is served with; the lowest number goes first."""
+        """The rank by which the job is scheduled; jobs with a lower number are scheduled first."""
         return RANKS[self.record.spec.rank] if self.effective_priority is None else self.effective_priority.rank
 
-    def key(self) -> tuple[bool, bool, int, bool, float, str]:
-        """Return the sort key."""
+    def sort_key(self) -> tuple[bool, bool, int, bool, float, str]:
+        """Return the sort key of the scheduling order."""
         return (
             self.overdue < FAR_OVERDUE,
             not (self.guaranteed or self.overdue),
@@ -50,10 +50,10 @@
 
 
 def overdue(record: JobRecord, now: WallTimeMs) -> int:
-    """Return the level by which a job is overdue.
+    """Return the overdue level of a job.
 
-    Guaranteed work and small jobs may pass a large one, but not for ever: no job waits much longer than the limits for
-    its first task while others get capacity.
+    Guaranteed and small jobs may overtake a large one, but not indefinitely: no job waits much longer than these limits
+    for its first task while other jobs get capacity.
     """
     if record.runs or record.done:
         return NOT_OVERDUE
@@ -64,10 +64,10 @@
 
 
 def is_protected(record: JobRecord, index: int, now: WallTimeMs) -> bool:
-    """Return whether a task is protected from preemption: the first one of a job that has waited for long.
+    """Return whether a task is protected from preemption, as the first task of a job that has waited for long is.
 
-    Preempting it would make its job overdue at once. The job would take the capacity back before the one that it was
-    made for, and be preempted for the same job again, for ever.
+    Preempting it would make its job overdue immediately. The job would get the capacity back before the job that
+    preempted it, and then be preempted by the same job again, indefinitely.
     """
     if record.done or now - record.runnable_at <= OVERDUE_MS or not record.runs:
         return False
@@ -75,10 +75,10 @@
 
 
 def earliest_finish(record: JobRecord, max_cpus: float) -> float:
-    """Return when a job would be done, time of day in ms, if it had all that its team may use from the start.
+    """Return when a job would be done, time of day in ms, if it had its team's whole quota from the start.
 
-    Jobs of one rank are served in this order, which is that of age except for large jobs: under a backlog they would
-    make every small job late that arrives after them.
+    Jobs of the same rank are scheduled in this order, which is the order of age except for large jobs: under a backlog,
+    a large job scheduled by age would delay every small job that arrives after it.
     """
     spec = record.spec
     return record.runnable_at + MS_PER_SECOND * spec.tasks * spec.cpus * spec.estimate_s / max(max_cpus, spec.cpus, 1.0)
@@ -93,9 +93,9 @@
 ) -> list[QueuedJob]:
     """Return the jobs in scheduling order: guaranteed ones first, then by rank, then by earliest finish.
 
-    A job is guaranteed while it fits its team's guaranteed quota together with the team's jobs before it.
-    `guaranteed_quotas`: cpus and gpus of each team. `max_cpus`: those that each team may use. Without `now` no job is
-    overdue.
+    A job is guaranteed if it fits into its team's guaranteed quota together with the team's jobs before it, in order of
+    rank and age. `guaranteed_quotas`: cpus and gpus by team. `max_cpus`: the cpus that each team may use. Without `now`
+    no job is overdue.
     """
     max_cpus = max_cpus or {}
     queued_jobs: list[QueuedJob] = []
@@ -122,5 +122,5 @@
                 effective_priority=effective_priority,
             )
         )
-    queued_jobs.sort(key=QueuedJob.key)
+    queued_jobs.sort(key=QueuedJob.sort_key)
     return queued_jobs
--- a/src/cloverplank/scheduling/quotas.py
+++ b/src/cloverplank/scheduling/quotas.py
@@ -1,4 +1,4 @@
-"""Team quotas and zone spread: how many tasks of each job may be on machines, and in which zones."""
+"""Team quotas and zone spread: how many tasks of each job may be placed, and in which zones."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Quota(Struct, frozen=True):
-    """What a team may use at most."""
+    """The maximum resources that a team may use."""
 
     cpus: float
     gpus: float
@@ -24,12 +24,12 @@
 
 
 def team_quotas(teams: Iterable[Team]) -> dict[str, Quota]:
-    """Return what each team may use at most, by its name."""
+    """Return the quotas by team name."""
     return {team.name: Quota(team.cpus_max, team.gpus_max) for team in teams}
 
 
 class UnmetDemand(Struct, eq=False):
-    """Tasks that have their allocation but no capacity."""
+    """Tasks that are allocated to a zone in which they have no capacity."""
 
     queued_job: QueuedJob
     zone: Zone
@@ -37,14 +37,14 @@
 
 
 class _TeamUsage(Struct):
-    """What a team uses."""
+    """The resources that a team uses."""
 
     cpus: float = 0.0
     gpus: float = 0.0
 
 
 def affordable(record: JobRecord, left_cpus: float, left_gpus: float, max_tasks: int) -> int:
-    """Return how many tasks of a job fit into what is left of a quota, `max_tasks` at most."""
+    """Return how many tasks of a job fit into the rest of a quota, at most `max_tasks`."""
     for requested, left in ((record.spec.cpus, left_cpus), (record.spec.gpus, left_gpus)):
         if requested > 0:
             max_tasks = min(max_tasks, int((left + EPSILON) / requested))
@@ -57,10 +57,11 @@
     limits: Mapping[str, Quota],
     others: Mapping[str, Quota] | None = None,
 ) -> dict[JobId, int]:
-    """Return how many tasks each job may have on machines.
+    """Return the maximum number of placed tasks of each job.
 
-    `held` returns the tasks of a job that count against its team until a commit says otherwise, so a total that is
-    lowered here frees nothing before it is committed. `others`: what jobs outside the queue still hold, by team.
+    `held` returns the number of a job's tasks that count against its team until a commit changes it, so a total that is
+    lowered here frees no quota before it is committed. `others`: resources that jobs outside the queue still hold, by
+    team.
     """
     held_counts = [held(queued_job.record.id) for queued_job in queued_jobs]
     placed_counts = [queued_job.record.placed() for queued_job in queued_jobs]
@@ -74,7 +75,7 @@
         missing = record.missing_count()
         extra = affordable(record, quota.cpus - planned.cpus, quota.gpus - planned.gpus, missing)
         if spec.gang and extra < missing:
-            extra = 0  # a gang is placed whole or not at all
+            extra = 0  # a gang is placed as a whole or not at all
         planned.cpus += extra * spec.cpus
         planned.gpus += extra * spec.gpus
         total = placed_count + extra
@@ -92,7 +93,7 @@
 def _team_usage(
     queued_jobs: Sequence[QueuedJob], task_counts: Sequence[int], others: Mapping[str, Quota]
 ) -> dict[str, _TeamUsage]:
-    """Return what each team uses with so many tasks of each job, next to the others."""
+    """Return the usage of each team: that of `others` plus the given number of tasks of each job."""
     usage = {team: _TeamUsage(quota.cpus, quota.gpus) for team, quota in others.items()}
     for queued_job, tasks in zip(queued_jobs, task_counts, strict=True):
         spec = queued_job.record.spec
@@ -105,10 +106,10 @@
 
 
 def covered(record: JobRecord, allocation: Mapping[Zone, int]) -> bool:
-    """Return whether the record's allocation allows as much in each zone, and no more counts against the team.
+    """Return whether the record's allocation allows as many tasks in each zone, and no more count against the team.
 
-    As tasks end, what a job may still put on machines shrinks by itself. A commit that says so would change nothing,
-    and there would be one for each task.
+    As tasks end, the number of tasks that a job may still place shrinks without a commit. Committing the smaller
+    allocation would have no effect, and would take one commit per task.
     """
     if record.held() > sum(allocation.values()):
         return False
@@ -116,13 +117,13 @@
 
 
 def by_weight(amount: int, weights: Mapping[Zone, float], caps: Mapping[Zone, int]) -> dict[Zone, int]:
-    """Split an amount over zones by static weights, the largest first; the excess of a full zone goes to the others."""
+    """Split an amount over zones by static weights, the largest first; a full zone's excess goes to the others."""
     result = dict.fromkeys(weights, 0)
     zones = sorted((zone for zone in weights if caps.get(zone, 0) > 0), key=lambda zone: (-weights[zone], zone))
     while amount > 0 and zones:
         assigned = _assign_by_weight(amount, weights, caps, zones, result)
         if assigned == 0:
-            # Each share is less than one: one each, in order, until the amount is used up.
+            # Each share is less than one: assign one per zone, in order, until the amount is used up.
             for zone in zones:
                 if assigned < amount and result[zone] < caps[zone]:
                     result[zone] += 1
@@ -156,10 +157,10 @@
     capacity_index: CapacityIndex,
     can_scale_out: Callable[[Zone], bool],
 ) -> tuple[dict[Zone, int], list[UnmetDemand]]:
-    """Return how many of a job's `total` tasks may run in each zone, and those that lack capacity there.
+    """Return how many of a job's `total` tasks may run in each zone, and the tasks that lack capacity there.
 
-    `zones`: their weights. Only missing tasks are split: placed ones stay, and an earlier allocation stays where it has
-    capacity. Takes the capacity that it counts on from the index.
+    `zones`: the weights of the zones. Only missing tasks are split: placed ones stay, and an earlier allocation is kept
+    where it has capacity. The capacity for the split is allocated from the index.
     """
     record = queued_job.record
     placed = {zone: record.placed(zone) for zone in zones}
@@ -181,9 +182,9 @@
 
 
 class _ZoneSplit:
-    """The split of one job's missing tasks: `added` is what each zone gets beside the placed tasks.
+    """The split of one job's missing tasks. `added` is the number of tasks that each zone gets besides the placed ones.
 
-    `weights`: of the zones that the job may use.
+    `weights`: the weights of the zones that the job may use.
     """
 
     def __init__(
@@ -203,13 +204,13 @@
         self.added = dict.fromkeys(weights, 0)
 
     def keep_allocated(self, missing: int) -> int:
-        """Add tasks where the job has its allocation already; return how many are still missing."""
+        """Add tasks to zones where the job already has an allocation; return how many are still missing."""
         for zone, allocated in self._allocated.items():
             missing -= self._fill(zone, min(allocated, missing))
         return missing
 
     def allocate_by_weight(self, missing: int) -> int:
-        """Add tasks where there is capacity, by the zones' weights; return how many are still missing."""
+        """Add tasks to zones with capacity, by the zones' weights; return how many are still missing."""
         spec, urgent = self._queued_job.record.spec, self._queued_job.urgent
         free = {
             zone: self._capacity_index.count_fitting(
@@ -222,9 +223,9 @@
         return missing
 
     def allocate_unmet(self, missing: int, can_scale_out: Callable[[Zone], bool]) -> list[UnmetDemand]:
-        """Add tasks that have no capacity anywhere, and return them as demand where machines may be provisioned.
+        """Add tasks that have no capacity anywhere, and return them as demand in zones that can be scaled out.
 
-        They stay where they were allocated before, even if the cloud has no capacity in the zone for a while, because
+        Tasks stay in the zone of their earlier allocation, even if the cloud temporarily has no capacity there, because
         each move is a change of the job's record.
         """
         remaining = {zone: cap - self.added[zone] for zone, cap in self._caps.items()}
@@ -244,7 +245,7 @@
         ]
 
     def _fill(self, zone: Zone, max_tasks: int) -> int:
-        """Add up to `max_tasks` tasks where there is capacity, and take it; return how many."""
+        """Allocate capacity of the zone for up to `max_tasks` tasks and add them; return how many were added."""
         max_tasks = min(max_tasks, self._caps[zone] - self.added[zone])
         if max_tasks <= 0:
             return 0
@@ -261,7 +262,7 @@
     capacity_index: CapacityIndex,
     missing: int,
 ) -> dict[Zone, float]:
-    """Return the weights of the zones that a job may use: a single one for a gang and a one-zone job."""
+    """Return the weights of the zones that a job may use; a gang or one-zone job may use a single zone."""
     spec = record.spec
     weights = {zone: weight for zone, weight in zones.items() if spec.zone in (None, zone)}
     if not (spec.one_zone or spec.gang):
