--- a/tests/jobs/specs.py
+++ b/tests/jobs/specs.py
@@ -10,5 +10,5 @@
 
 
 def spec(**fields: object) -> JobSpec:
-    """Return a small job's description as submitted, with other values of the encoded fields given."""
+    """Return the decoded description of a small job; `fields` override its encoded fields."""
     return decode_submission(encode(GOOD | SMALL | fields)).spec
--- a/tests/jobs/test_dependencies.py
+++ b/tests/jobs/test_dependencies.py
@@ -26,7 +26,7 @@
 from cloverplank.wire.users import JobSpec
 from tests.jobs.specs import spec
 
-LONG_CHAIN = 3000  # jobs: recursion over as many would end the process
+LONG_CHAIN = 3000  # jobs; recursion over so many would end the process
 
 
 def chain_spec(**fields: object) -> JobSpec:
@@ -35,7 +35,7 @@
 
 
 def blocked_jobs(*jobs: tuple[str, list[str], dict[str, object]]) -> BlockedJobs:
-    """Return blocked jobs, each given by its id, its upstream jobs and fields of its description."""
+    """Return blocked jobs, each given as its id, its upstream jobs and the encoded fields of its description."""
     result = BlockedJobs()
     for mod_revision, (name, upstream, fields) in enumerate(jobs, 1):
         record = BlockedJobRecord(chain_spec(id=name, **fields), 1000, upstream)
@@ -80,7 +80,7 @@
 
 
 def test_first_job_of_a_chain_inherits_rank_and_due_time_of_the_last() -> None:
-    """The last job is due at 1000 ms + 100 s; its own 10 s and the 20 s of the job before it are subtracted."""
+    """The last job is due at 1000 ms + 100 s, minus its own 10 s and the 20 s of the job before it."""
     jobs = blocked_jobs(
         ("run-2", ["run-1"], {"rank": "idle", "guess_s": 20.0}),
         ("run-3", ["run-2"], {"rank": "urgent", "guess_s": 10.0, "due_s": 100.0}),
@@ -104,7 +104,7 @@
     assert effective_priorities.of(first).due_at is None
 
 
-def test_job_with_urgent_dependents_goes_before_jobs_of_higher_rank_of_its_own() -> None:
+def test_job_with_urgent_dependents_precedes_jobs_of_higher_own_rank() -> None:
     jobs = blocked_jobs(("run-2", ["run-1"], {"rank": "urgent"}))
     first = JobRecord(chain_spec(id="run-1", rank="idle"), 2000)
     other = JobRecord(chain_spec(id="run-5", rank="standard"), 1000)
--- a/tests/jobs/test_layout.py
+++ b/tests/jobs/test_layout.py
@@ -1,4 +1,4 @@
-"""Stored records: both layouts of a job are equivalent, and no record is larger than the lower limit of the store."""
+"""Stored records: both layouts of a job record are equivalent, and no record exceeds the lower size limit."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
 
 
 def test_record_is_stored_plain_until_every_controller_reads_the_compact_layout(large_record: JobRecord) -> None:
-    """Whatever its size: processes of the version before can't read the compact layout."""
+    """The size of the record makes no difference, since the previous version can't read the compact layout."""
     stored = size_limits(8, compact_allowed=False).stored(large_record)
     assert msgspec.msgpack.decode(encode(stored), type=messages.JobRecord).at == 1
 
@@ -105,7 +105,7 @@
 @settings(max_examples=60)
 @given(st.integers(1, 600), st.lists(st.integers(1, 4), min_size=1, max_size=400), st.data())
 def test_placements_keep_every_record_within_the_lower_limit(tasks: int, sizes: list[int], data: st.DataObject) -> None:
-    """Placed as a shard owner does it, on as many machines as `remaining_runs` says, with tasks exiting in any order."""
+    """A shard owner places tasks on at most `remaining_runs` further machines, and tasks exit in any order."""
     limits = size_limits(16, compact_allowed=True)
     record = JobRecord(spec(pieces=tasks), NOW_MS, allocation={"a": tasks}, submitted=NOW_MS)
     for step in range(6):
@@ -124,7 +124,7 @@
 
 
 def test_large_plain_record_can_be_rewritten_within_the_lower_limit() -> None:
-    """Stored plain in 14 KiB: on hundreds of machines, with as many eviction entries as a record has."""
+    """The record is stored plain in 14 KiB, with runs on hundreds of machines and the maximum of eviction entries."""
     runs = [Run(f"m-{7 * n % 1000:06d}", "tuul-hall", 1 + n // 40, [n, n]) for n in range(250)]
     evictions = [Eviction(f"m-{n:06d}", 2, NOW_MS, 7) for n in range(20)]
     record = JobRecord(spec(pieces=250), NOW_MS, runs=runs, allocation={"tuul-hall": 250}, evictions=evictions)
--- a/tests/jobs/test_ranges.py
+++ b/tests/jobs/test_ranges.py
@@ -1,4 +1,4 @@
-"""Ranges behave as the sets of numbers that they stand for."""
+"""Operations on ranges are equivalent to operations on sets of numbers."""
 
 from __future__ import annotations
 
--- a/tests/jobs/test_records.py
+++ b/tests/jobs/test_records.py
@@ -1,4 +1,4 @@
-"""Job records under generated changes, and the quotas and placements computed from them."""
+"""Job records under generated changes, and quotas and placements computed from job records."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 A, B = Zone("a"), Zone("b")
 ZONES = [A, B]
 TASKS = 8
-MAX_TASKS_PER_ZONE = 4  # of a job of eight tasks that is spread over zones
+MAX_TASKS_PER_ZONE = 4  # half of the eight tasks of a job that is spread over zones
 
 
 def placement(machine: str, zone: Zone, count: int) -> Placement:
@@ -28,7 +28,7 @@
 
 
 class JobRecordMachine(RuleBasedStateMachine):
-    """The leader and shard owners change one record, some of them from what they read earlier."""
+    """The leader and shard owners change one record; the leader computes some changes from a stale read."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -50,13 +50,13 @@
 
     @rule(extra=st.integers(0, 8), share=st.integers(0, 8))
     def allocate(self, extra: int, share: int) -> None:
-        """From what was read earlier, as when a transaction is built again after a conflict."""
+        """Allocate from a stale read, as when a transaction is built again after a conflict."""
         placed = {zone: self.read_before.placed(zone) for zone in ZONES}
         extra = min(extra, self.read_before.missing_count())
         extra_in_a = min(share, extra)
         wanted = {A: placed[A] + extra_in_a, B: placed[B] + extra - extra_in_a}
         wanted = {zone: min(count, MAX_TASKS_PER_ZONE) for zone, count in wanted.items()}
-        # The leader charges the larger of what is committed and what it is about to commit.
+        # The leader charges the larger of the committed and the new number of tasks.
         self.charged = max(self.record.held(), sum(wanted.values()))
         self.apply(records.allocate(wanted))
 
@@ -68,7 +68,7 @@
             assert self.record.placed(zone) <= self.record.allocation.get(zone, 0)
             new_runs = self.record.runs[len(before.runs) :]
             new = {(task, run.attempt) for run in new_runs for task in ranges.numbers(run.tasks)}
-            assert not new & self.attempts  # no attempt number is ever used again
+            assert not new & self.attempts  # no attempt number of a task is reused
             self.attempts |= new
 
     @rule(data=st.data(), done=st.booleans())
@@ -116,19 +116,19 @@
 
 
 def applied(change: RecordChange, record: JobRecord) -> JobRecord:
-    """Return the record after a change that has to apply."""
+    """Return the record after a change that must apply."""
     after = change(record)
     assert after is not None
     return after
 
 
 def allocated(tasks: int, **fields: object) -> JobRecord:
-    """Return a record with as many tasks allocated to zone a."""
+    """Return a record with the given number of tasks allocated to zone a."""
     return applied(records.allocate({A: tasks}), JobRecord(spec(**fields), 0))
 
 
 def test_allocation_after_a_conflict_does_not_raise_what_the_job_holds() -> None:
-    """Tasks that were to move to zone b were placed in zone a meanwhile: both would count."""
+    """Tasks that were to move to zone b are placed in zone a in the meantime: both zones' tasks would be charged."""
     record = allocated(4)
     move = records.allocate({B: 4})
     placed = applied(records.place([placement("m-1", A, 4)], record.next_attempt), record)
@@ -145,8 +145,8 @@
 @pytest.mark.parametrize(
     ("placements", "applies"),
     [
-        pytest.param([placement("m-1", A, 7)], False, id="too few places"),
-        pytest.param([placement("m-1", A, 4), placement("m-2", A, 4)], True, id="places for all"),
+        pytest.param([placement("m-1", A, 7)], False, id="too few placements"),
+        pytest.param([placement("m-1", A, 4), placement("m-2", A, 4)], True, id="placements for all tasks"),
     ],
 )
 def test_gang_is_placed_as_a_whole_or_not_at_all(placements: list[Placement], applies: bool) -> None:
@@ -177,7 +177,7 @@
         held[job.id] = record.held()
     totals = quotas.task_limits(queued_jobs, lambda job: held[job], limits)
     for team, limit in limits.items():
-        # What is lowered frees nothing before it is committed.
+        # A lowered total frees no quota before it is committed.
         charged = sum(
             max(held[queued.record.id], totals[queued.record.id]) * queued.record.spec.cpus
             for queued in queued_jobs
@@ -235,8 +235,8 @@
     ),
 )
 @example([(1, 1, False, True)], [(1, 1, True, False, 1), (1, 1, False, False, 1)])
-def test_what_is_remembered_to_lack_room_changes_no_placement(machines: list, jobs: list) -> None:
-    """Rounds under a backlog pass over jobs where an easier one found no room."""
+def test_cached_unplaceable_jobs_change_no_placement(machines: list, jobs: list) -> None:
+    """Under a backlog, a scheduling cycle skips jobs if a less demanding one found no capacity."""
 
     def capacity_index() -> CapacityIndex:
         return CapacityIndex(
@@ -244,12 +244,12 @@
             for n, (cpus, memory, spot, empty) in enumerate(machines)
         )
 
-    remembering, plain = capacity_index(), capacity_index()
+    cached, uncached = capacity_index(), capacity_index()
     for cpus, memory, spot, urgent, tasks in jobs:
         record = JobRecord(spec(vcpus=float(cpus), ram_gb=float(memory), loaners=spot, pieces=6), 0)
-        plain._unplaceable.clear()
-        expected = plain.fill(record, "a", tasks, urgent=urgent)  # type: ignore[arg-type]
-        assert remembering.fill(record, "a", tasks, urgent=urgent) == expected  # type: ignore[arg-type]
+        uncached._unplaceable.clear()
+        expected = uncached.fill(record, "a", tasks, urgent=urgent)  # type: ignore[arg-type]
+        assert cached.fill(record, "a", tasks, urgent=urgent) == expected  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
@@ -263,7 +263,7 @@
 def test_large_job_without_a_started_task_goes_first_once_it_is_far_overdue(
     waited_ms: int, done: ranges.Ranges, goes_first: bool
 ) -> None:
-    """A stream of guaranteed and of small jobs passed a large one again and again."""
+    """A stream of guaranteed and of small jobs must not overtake a large one indefinitely."""
     large = JobRecord(spec(id="run-1", crew="red", rank="standard", pieces=400, guess_s=90.0), 0, done=done)
     small = [JobRecord(spec(id=f"run-{n}", crew="blue", rank="urgent", pieces=1), waited_ms) for n in (2, 3)]
     queued_jobs = scheduling_order(
@@ -274,7 +274,7 @@
 
 @pytest.fixture
 def partly_done() -> JobRecord:
-    """A job of ten tasks, six of them allocated to zone a and placed, four of those done, four allocated to zone b."""
+    """A job of ten tasks: six are allocated to zone a and placed (four are done), four are allocated to zone b."""
     record = JobRecord(spec(pieces=10, vcpus=1.0), 1, allocation={A: 6, B: 4})
     record = applied(records.place([placement("m", A, 6)], 1), record)
     return applied(records.exit_tasks([TaskExit(task, 1, "m", True) for task in range(4)]), record)
@@ -283,16 +283,17 @@
 @pytest.mark.parametrize(
     ("wanted", "covered"),
     [
-        pytest.param({A: 2, B: 4}, True, id="what is left to do"),
-        pytest.param({A: 2, B: 3}, False, id="less: it has to give back what others may have"),
-        pytest.param({A: 7, B: 4}, False, id="more: it may have it"),
+        pytest.param({A: 2, B: 4}, True, id="equal to the unfinished tasks"),
+        pytest.param({A: 2, B: 3}, False, id="less: quota has to be released for other jobs"),
+        pytest.param({A: 7, B: 4}, False, id="more: the job may get more quota"),
     ],
 )
 def test_done_tasks_leave_no_smaller_allocation_to_commit(
     partly_done: JobRecord, wanted: dict[Zone, int], covered: bool
 ) -> None:
-    """Each exit of a task was followed by a commit of a smaller allocation, of a higher priority than completions. When
-    the rate of changes fell by a third, placements of lower ranks waited a minute beside hundreds of free machines.
+    """Committing a smaller allocation after each task exit, at a higher priority than completions, uses up the rate of
+    changes: if that rate falls by a third, placements of lower ranks wait a minute although hundreds of machines are
+    free.
     """
     assert bool(quotas.covered(partly_done, wanted)) == covered
 
@@ -304,7 +305,7 @@
 
 @given(st.data())
 def test_job_never_holds_more_while_its_allocation_stays(data: st.DataObject) -> None:
-    """However tasks are placed, exit and are evicted after it: the allocation is larger than what the job has left."""
+    """Tasks are placed, exit and are evicted in any order while the allocation exceeds what the job has left."""
     record = JobRecord(spec(pieces=12, vcpus=1.0), 1, allocation={A: 8, B: 4})
     for step in range(data.draw(st.integers(1, 12))):
         held_before = record.held()
--- a/tests/jobs/test_store.py
+++ b/tests/jobs/test_store.py
@@ -1,4 +1,4 @@
-"""The job store: staged records, the index by machine and change counts."""
+"""Job store: staged records, the index by machine and change counts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def test_change_that_the_watch_delivers_before_its_response_is_not_staged_twice() -> None:
-    """Two replicas counted as placed for ever, on top of two that were."""
+    """Staged twice, the change would count two replicas as placed indefinitely, on top of the two that are placed."""
     store = JobStore()
     record = records.allocate({ZONE: 4})(JobRecord(spec(pieces=4, shape="service"), 0))
     assert record is not None
@@ -30,7 +30,7 @@
         records.place([Placement(MachineId("m-1"), ZONE, 2)], 1), PLACE_PRIORITY, MonotonicTime(0.0)
     )
     store.stage(view, pending)
-    store.apply(record.id, view.staged, ModRevision(2))  # by the watch
+    store.apply(record.id, view.staged, ModRevision(2))  # delivered by the watch
     assert view.staged.placed() == 2
     store.unstage(view, [pending])
     assert view.staged == view.record
@@ -38,7 +38,7 @@
 
 
 class JobStoreMachine(RuleBasedStateMachine):
-    """Changes are staged, committed, dropped and delivered by the watch, in any order."""
+    """Changes are staged, committed, dropped and delivered by the watch in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -71,7 +71,7 @@
 
     @rule(number=st.integers(0, 1), merged=st.integers(0, 3), committed=st.booleans())
     def settle(self, number: int, merged: int, committed: bool) -> None:
-        """Some of the pending changes are committed, or dropped."""
+        """Commit or drop the first pending changes."""
         view = self.view(number)
         settled = view.pending[:merged]
         if committed:
@@ -87,8 +87,8 @@
 
     @invariant()
     def change_count_differs_after_each_change_on_a_machine(self) -> None:
-        """A heartbeat without news is answered without a read of the jobs: a change that was not counted would never
-        reach the worker.
+        """A heartbeat is answered without reading the jobs if the change count is the same, so a change that is not
+        counted would never reach the worker.
         """
         for machine in MACHINES:
             state = [
@@ -104,7 +104,7 @@
 
     @invariant()
     def index_and_loads_are_those_of_the_records(self) -> None:
-        """A machine stayed in the index of a job that had left it before the commit: busy for ever."""
+        """A machine kept in the index of a job that left it before the commit would count as busy indefinitely."""
         for machine in MACHINES:
             views = list(self.store.jobs.values())
             on_machine = {view.id for view in views if machine in view.record.runs_on or machine in view.staged.runs_on}
--- a/tests/jobs/test_task_exits.py
+++ b/tests/jobs/test_task_exits.py
@@ -1,4 +1,4 @@
-"""Task exits of one job are joined to one change: the work must not grow with the square of the tasks."""
+"""Task exits of one job are joined to one change, so that the work does not grow with the square of the tasks."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def placed_record(tasks: int = TASKS, machines: int = MACHINES) -> JobRecord:
-    """Return a record with all tasks placed, as many on each machine."""
+    """Return a record with all tasks placed, the same number on each machine."""
     record = JobRecord(spec(id=JOB, pieces=tasks), 1000, allocation={"a": tasks})
     per_machine = tasks // machines
     placements = [Placement(MachineId(f"m-{n:06d}"), Zone("a"), per_machine) for n in range(machines)]
@@ -57,7 +57,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, TASKS - 1), st.booleans()), max_size=40))
 def test_joined_exits_give_the_record_of_single_ones(exits: list[tuple[int, bool]]) -> None:
-    """In any order, with repeats, and where a later heartbeat contradicts an earlier one."""
+    """Exits come in any order, with repetitions, and a later heartbeat may contradict an earlier one."""
     changes = [
         records.exit_tasks([task_exit(index, done=done, per_machine=TASKS // MACHINES)]) for index, done in exits
     ]
@@ -71,8 +71,8 @@
 
 
 @pytest.fixture
-def passes(monkeypatch: pytest.MonkeyPatch) -> list[JobRecord]:
-    """The records that task exits were applied to."""
+def records_visited(monkeypatch: pytest.MonkeyPatch) -> list[JobRecord]:
+    """The records to which task exits are applied, one entry per application."""
     applied: list[JobRecord] = []
     apply: Callable[[records.TaskExits, JobRecord], JobRecord | None] = records.TaskExits.__call__
 
@@ -84,26 +84,26 @@
     return applied
 
 
-def test_pending_exits_are_one_change(store: JobStore, passes: list[JobRecord]) -> None:
-    """Each event on a job replays its pending changes: one for each of hundreds of tasks took a shard owner's
-    processor time.
+def test_pending_exits_are_one_change(store: JobStore, records_visited: list[JobRecord]) -> None:
+    """Each event on a job applies its pending changes again: with one change per task, hundreds of tasks would take up
+    the processor time of a shard owner.
     """
     store.apply(JOB, placed_record(MANY_TASKS, MANY_TASKS), ModRevision(1))
     view = store.jobs[JOB]
     for index in range(MANY_TASKS):
         store.stage(view, exit_change(index, 5.0 - index / 1000))
-    assert len(passes) == MANY_TASKS  # each once, as it comes
+    assert len(records_visited) == MANY_TASKS  # each exit once, when it is staged
     assert len(view.pending) == 1
     assert view.pending[0].ready_at == MonotonicTime(5.0 - (MANY_TASKS - 1) / 1000)
-    passes.clear()
+    records_visited.clear()
     store.apply(JOB, placed_record(MANY_TASKS, MANY_TASKS), ModRevision(2))
-    assert len(passes) == 1
+    assert len(records_visited) == 1
     assert view.staged.phase is Phase.DONE
     assert view.record.phase is Phase.OPEN
 
 
 def test_exits_do_not_join_a_transaction_in_flight(store: JobStore, view: CachedJob) -> None:
-    """Its bytes are sent already: what joined it would count as committed and be lost."""
+    """The transaction is already sent: an exit that joined it would count as committed and be lost."""
     store.stage(view, exit_change(0))
     view.in_flight = True
     store.stage(view, exit_change(1))
@@ -113,7 +113,7 @@
 
 
 def test_exits_under_different_shard_assignments_are_not_joined(store: JobStore, view: CachedJob) -> None:
-    """Each is dropped with the assignment that it was made under."""
+    """Each exit is dropped together with the shard assignment under which it was staged."""
     store.stage(view, exit_change(0, conditions=[Compare("c/block/a", 3)]))
     store.stage(view, exit_change(1, conditions=[Compare("c/block/b", 4)]))
     assert len(view.pending) == 2
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: generated jobs against every way to run them."""
+"""Admission control, compared with a search over all splits of generated jobs over zones."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def can_run(job: JobSpec, zones: list[str], limit: Quota) -> bool:
-    """Try every split over zones of as many tasks as must run at the same time."""
+    """Return whether the tasks that must run at the same time can be split over zones, by trying every split."""
     tasks = 1 if job.shape == "batch" else job.tasks
     if tasks * job.cpus > limit.cpus or tasks * job.gpus > limit.gpus:
         return False
--- a/tests/scheduling/test_capacity.py
+++ b/tests/scheduling/test_capacity.py
@@ -1,4 +1,4 @@
-"""Bin packing into free capacity."""
+"""Bin packing into the free capacity of machines."""
 
 from __future__ import annotations
 
@@ -62,13 +62,14 @@
     return JobRecord(spec(pieces=6, **job), WallTimeMs(0))
 
 
-def _forgetful_fill(index: CapacityIndex, record: JobRecord, zone: Zone, tasks: int, urgent: bool) -> list[Placement]:
-    """Fill as an index would that searches all machines for every job."""
+def _uncached_fill(index: CapacityIndex, record: JobRecord, zone: Zone, tasks: int, urgent: bool) -> list[Placement]:
+    """Fill without the cache of unplaceable jobs, so that all machines are searched for every job."""
     index._unplaceable.clear()
     return index.fill(record, zone, tasks, urgent=urgent)
 
 
-# A job was passed over although a machine had capacity: what others lacked was remembered too broadly.
+# Guards against a job that is skipped although a machine has capacity, because a cached unplaceable job matches more
+# jobs than it should.
 @given(st.lists(MACHINES, max_size=6), st.lists(REQUESTS, max_size=8))
 @example(
     [IDLE_ON_DEMAND | {"zone": ZONE, "reserved": False}],
@@ -82,17 +83,17 @@
 @example([BUSY_MACHINE], [(ON_DEMAND_JOB | {"builds": ["large"]}, ZONE, True, 1), (ON_DEMAND_JOB, ZONE, True, 1)])
 @example([BUSY_MACHINE | {"spot": True}], [(ON_DEMAND_JOB, ZONE, True, 1), (SPOT_JOB, ZONE, True, 1)])
 @example([BUSY_MACHINE | {"reserved": True}], [(ON_DEMAND_JOB, ZONE, True, 1), (IMPORTANT_JOB, ZONE, True, 1)])
-def test_jobs_remembered_to_lack_capacity_change_no_placement_under_any_constraint(
+def test_cached_unplaceable_jobs_change_no_placement_under_any_constraint(
     machines: list[dict], requests: list[tuple[dict, Zone, bool, int]]
 ) -> None:
-    remembering, forgetful = _capacity_index(machines), _capacity_index(machines)
+    cached, uncached = _capacity_index(machines), _capacity_index(machines)
     for job, zone, urgent, tasks in requests:
         record = _record(job)
-        expected = _forgetful_fill(forgetful, record, zone, tasks, urgent)
-        assert remembering.fill(record, zone, tasks, urgent=urgent) == expected
+        expected = _uncached_fill(uncached, record, zone, tasks, urgent)
+        assert cached.fill(record, zone, tasks, urgent=urgent) == expected
 
 
-# A job was passed over on a machine that the other index of the cycle had taken into use.
+# Guards against a job that is skipped although it may use a machine that the other index of the cycle has allocated.
 @given(st.lists(MACHINES, max_size=6), st.lists(REQUESTS, max_size=8))
 @example(
     [IDLE_ON_DEMAND | {"zone": ZONE, "reserved": False}],
@@ -101,17 +102,17 @@
 def test_capacity_taken_in_another_index_changes_no_placement(
     machines: list[dict], requests: list[tuple[dict, Zone, bool, int]]
 ) -> None:
-    """Placement has two indexes: important jobs fill the one with headroom, the others the one without."""
-    remembering, forgetful, total = (_capacity_index(machines) for _ in range(3))
+    """Placement uses two indexes: important jobs fill the one with headroom, other jobs the one without."""
+    cached, uncached, total = (_capacity_index(machines) for _ in range(3))
     for job, zone, urgent, tasks in requests:
         record = _record(job)
         if job["rank"] == "prod":
             for placement in total.fill(record, zone, tasks, urgent=urgent):
-                remembering.allocate(placement.machine, record.spec, placement.count)
-                forgetful.allocate(placement.machine, record.spec, placement.count)
+                cached.allocate(placement.machine, record.spec, placement.count)
+                uncached.allocate(placement.machine, record.spec, placement.count)
             continue
-        expected = _forgetful_fill(forgetful, record, zone, tasks, urgent)
-        assert remembering.fill(record, zone, tasks, urgent=urgent) == expected
+        expected = _uncached_fill(uncached, record, zone, tasks, urgent)
+        assert cached.fill(record, zone, tasks, urgent=urgent) == expected
 
 
 @pytest.mark.parametrize(
@@ -119,7 +120,7 @@
     [pytest.param(False, {"m-2"}, id="not urgent"), pytest.param(True, {"m-1", "m-2"}, id="urgent")],
 )
 def test_only_urgent_jobs_use_idle_on_demand_machines(urgent: bool, expected: set[str]) -> None:
-    """Bursts would keep every on-demand machine from being idle for long enough to be terminated."""
+    """Otherwise bursts would keep on-demand machines from being idle for long enough to be terminated."""
     record = JobRecord(spec(loaners=True, pieces=20), WallTimeMs(0))
     capacity_index = CapacityIndex(
         [
--- a/tests/scheduling/test_headroom.py
+++ b/tests/scheduling/test_headroom.py
@@ -1,4 +1,4 @@
-"""How headroom is sized by recent arrivals."""
+"""Sizing of headroom by recent arrivals."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def observed(headroom: Headroom) -> Headroom:
-    """Four services of two replicas, a second apart, three of them with image x."""
+    """Four services of two replicas each, which arrive at intervals of one second, three of them with image x."""
     for number, image in enumerate(["x", "x", "x", "y"]):
         job = spec(id=f"run-{number}", lane="web", shape="service", pieces=2, bundle=image)
         headroom.observe(JobRecord(job, WallTimeMs(number * 1000)))
--- a/tests/scheduling/test_objectives.py
+++ b/tests/scheduling/test_objectives.py
@@ -1,4 +1,4 @@
-"""When a job becomes urgent by its service-level objectives."""
+"""Urgency of jobs according to their service-level objectives."""
 
 from __future__ import annotations
 
