--- a/src/cloverplank/jobs/dependencies.py
+++ b/src/cloverplank/jobs/dependencies.py
@@ -38,7 +38,7 @@
     READ_UPSTREAM = "look up"  # the states of some upstream jobs must be read first
 
 
-StateOf = Callable[[JobId], UpstreamState]
+UpstreamStateLookup = Callable[[JobId], UpstreamState]
 
 
 def decide(states: Iterable[UpstreamState]) -> Verdict:
@@ -78,14 +78,14 @@
     return list(found)
 
 
-def not_in_memory(job: BlockedJob, blocked_jobs: BlockedJobs, state_of: StateOf) -> list[JobId]:
+def not_in_memory(job: BlockedJob, blocked_jobs: BlockedJobs, state_of: UpstreamStateLookup) -> list[JobId]:
     """Return the upstream jobs whose states must be read before `has_cancelled_upstream` gives a reliable result."""
     return [
         upstream for upstream in _all_upstream(job, blocked_jobs) if state_of(upstream) is UpstreamState.NOT_IN_MEMORY
     ]
 
 
-def has_cancelled_upstream(job: BlockedJob, blocked_jobs: BlockedJobs, state_of: StateOf) -> bool:
+def has_cancelled_upstream(job: BlockedJob, blocked_jobs: BlockedJobs, state_of: UpstreamStateLookup) -> bool:
     """Return whether a direct or indirect upstream job is cancelled, so that this job will be cancelled as well."""
     return any(state_of(upstream) is UpstreamState.CANCELLED for upstream in _all_upstream(job, blocked_jobs))
 
--- a/src/cloverplank/scheduling/objectives.py
+++ b/src/cloverplank/scheduling/objectives.py
@@ -24,7 +24,7 @@
     patience: float
     priority_of: Callable[[JobRecord], EffectivePriority] = own_priority
 
-    def all(self, record: JobRecord) -> list[float]:
+    def for_job(self, record: JobRecord) -> list[float]:
         """Return the job's objectives in seconds from the time at which it became runnable, the tightest first."""
         due_at = self.priority_of(record).due_at
         due = [] if due_at is None else [(due_at - record.runnable_at) / MS_PER_SECOND]
@@ -33,7 +33,7 @@
     def remaining_times(self, record: JobRecord, now: WallTimeMs) -> list[float]:
         """Return for each objective how many seconds the job can still wait before it starts."""
         used_s = (now - record.runnable_at) / MS_PER_SECOND + record.spec.estimate_s * ESTIMATE_FACTOR
-        return [objective - used_s for objective in self.all(record)]
+        return [objective - used_s for objective in self.for_job(record)]
 
     def time_left(self, record: JobRecord, now: WallTimeMs) -> float | None:
         """Return how many seconds a job can wait and still meet its next objective, or None without objectives.
@@ -50,7 +50,7 @@
         spec = record.spec
         if not spec.spot or self.priority_of(record).rank <= RANKS["urgent"]:
             return True
-        objectives = self.all(record)
+        objectives = self.for_job(record)
         if not objectives:
             return now - record.runnable_at > NO_OBJECTIVE_MS
         return self.remaining_times(record, now)[0] < (1 - self.patience) * objectives[0]
--- a/src/cloverplank/scheduling/quotas.py
+++ b/src/cloverplank/scheduling/quotas.py
@@ -116,7 +116,7 @@
     return all(record.allocation.get(zone, 0) >= tasks for zone, tasks in allocation.items())
 
 
-def by_weight(amount: int, weights: Mapping[Zone, float], caps: Mapping[Zone, int]) -> dict[Zone, int]:
+def split_by_weight(amount: int, weights: Mapping[Zone, float], caps: Mapping[Zone, int]) -> dict[Zone, int]:
     """Split an amount over zones by static weights, the largest first; a full zone's excess goes to the others."""
     result = dict.fromkeys(weights, 0)
     zones = sorted((zone for zone in weights if caps.get(zone, 0) > 0), key=lambda zone: (-weights[zone], zone))
@@ -218,7 +218,7 @@
             )
             for zone, cap in self._caps.items()
         }
-        for zone, share in by_weight(missing, self._weights, free).items():
+        for zone, share in split_by_weight(missing, self._weights, free).items():
             missing -= self._fill(zone, share)
         return missing
 
@@ -236,11 +236,11 @@
             self.added[zone] += kept
             unallocated -= kept
         remaining_after = {zone: cap - self.added[zone] for zone, cap in self._caps.items()}
-        for zone, share in by_weight(unallocated, scalable, remaining_after).items():
+        for zone, share in split_by_weight(unallocated, scalable, remaining_after).items():
             self.added[zone] += share
         return [
             UnmetDemand(self._queued_job, zone, tasks)
-            for zone, tasks in by_weight(missing, scalable, remaining).items()
+            for zone, tasks in split_by_weight(missing, scalable, remaining).items()
             if tasks
         ]
 
--- a/tests/jobs/test_records.py
+++ b/tests/jobs/test_records.py
@@ -189,13 +189,13 @@
 @given(st.integers(0, 50), st.dictionaries(st.sampled_from("abcd"), st.floats(0, 10), min_size=1), st.data())
 def test_split_by_weight_gives_out_all_that_fits(amount: int, weights: dict[str, float], data: st.DataObject) -> None:
     caps = {zone: data.draw(st.integers(0, 20)) for zone in weights}
-    split = quotas.by_weight(amount, weights, caps)
+    split = quotas.split_by_weight(amount, weights, caps)
     assert sum(split.values()) == min(amount, sum(caps.values()))
     assert all(0 <= split[zone] <= caps[zone] for zone in split)
 
 
 def test_split_follows_the_static_weights() -> None:
-    assert quotas.by_weight(9, {"a": 1.0, "b": 2.0}, {"a": 99, "b": 99}) == {"a": 3, "b": 6}
+    assert quotas.split_by_weight(9, {"a": 1.0, "b": 2.0}, {"a": 99, "b": 99}) == {"a": 3, "b": 6}
 
 
 @given(st.integers(1, 30), st.lists(st.tuples(st.integers(0, 8), st.booleans(), st.booleans()), max_size=6))
