--- a/src/cloverplank/jobs/layout.py
+++ b/src/cloverplank/jobs/layout.py
@@ -13,8 +13,8 @@
 from msgspec import Struct, field
 
 from cloverplank.jobs.compact_encoding import decode_done, decode_runs, encode_done, encode_runs, name_pattern
+from cloverplank.jobs.layout_kind import LayoutKind
 from cloverplank.jobs.records import Eviction, JobRecord, Phase
-from cloverplank.jobs.shapes import Shape
 from cloverplank.wire.codec import MessageDecodeError, decode, json_size
 from cloverplank.wire.users import JobSpec
 
@@ -61,9 +61,9 @@
     return stored if isinstance(stored, JobRecord) else unpack(stored)
 
 
-def shape_of(stored: StoredRecord) -> Shape:
+def layout_kind_of(stored: StoredRecord) -> LayoutKind:
     """Return the layout of a stored record."""
-    return Shape.PLAIN if isinstance(stored, JobRecord) else Shape.COMPACT
+    return LayoutKind.PLAIN if isinstance(stored, JobRecord) else LayoutKind.COMPACT
 
 
 def stored(record: JobRecord, value_bytes: int, *, compact_allowed: bool) -> StoredRecord:
--- a/src/cloverplank/jobs/shapes.py
+++ b/src/cloverplank/jobs/layout_kind.py
@@ -5,14 +5,14 @@
 from enum import Enum
 
 
-class Shape(Enum):
+class LayoutKind(Enum):
     """A storage layout of job records."""
 
     PLAIN = "plain"  # every field is encoded with its name
     COMPACT = "compact"  # runs and done tasks are packed into strings
 
 
-class CompactUse(Enum):
+class CompactLayoutUse(Enum):
     """To what extent the cluster version allows records in the compact layout."""
 
     NEVER = "never"
--- a/src/cloverplank/jobs/size_limits.py
+++ b/src/cloverplank/jobs/size_limits.py
@@ -10,8 +10,8 @@
 from cloverplank.basic_types import JobId
 from cloverplank.jobs import layout
 from cloverplank.jobs.layout import CompactRecord, StoredRecord
+from cloverplank.jobs.layout_kind import LayoutKind
 from cloverplank.jobs.records import JobRecord
-from cloverplank.jobs.shapes import Shape
 from cloverplank.wire.codec import json_size
 
 MAX_UNMEASURED_PLAIN_RUNS = 40  # so many runs fit in any plain record
@@ -36,9 +36,9 @@
     compact_allowed: Callable[[], bool]
     may_stay_compact: Callable[[JobId], bool] = _never_stays_compact
 
-    def shape(self, record: JobRecord) -> Shape:
+    def layout_kind(self, record: JobRecord) -> LayoutKind:
         """Return the kind of the layout that the record is to be stored in."""
-        return layout.shape_of(self.stored(record))
+        return layout.layout_kind_of(self.stored(record))
 
     def stored(self, record: JobRecord) -> StoredRecord:
         """Return the record in the layout that it is to be stored in."""
--- a/src/cloverplank/kvstore/job_transactions.py
+++ b/src/cloverplank/kvstore/job_transactions.py
@@ -7,9 +7,9 @@
 from msgspec import Struct
 
 from cloverplank.basic_types import ModRevision
-from cloverplank.jobs.layout import shape_of
+from cloverplank.jobs.layout import layout_kind_of
+from cloverplank.jobs.layout_kind import LayoutKind
 from cloverplank.jobs.records import FinalRecord, JobRecord
-from cloverplank.jobs.shapes import Shape
 from cloverplank.jobs.size_limits import RecordSizeLimits
 from cloverplank.jobs.store import CachedJob, ChangeOutcome, PendingChange
 from cloverplank.kvstore import keys
@@ -31,7 +31,7 @@
     """
 
     def __init__(
-        self, watch_cache: WatchCache, size_limits: RecordSizeLimits, gate: Callable[[Shape], list[Compare]]
+        self, watch_cache: WatchCache, size_limits: RecordSizeLimits, gate: Callable[[LayoutKind], list[Compare]]
     ) -> None:
         self._watch_cache = watch_cache
         self._size_limits = size_limits
@@ -78,7 +78,7 @@
         if record.finished():
             return [Delete(key), Put(keys.final(job.id), FinalRecord(record.phase, record.spec.tasks))]
         stored = self._size_limits.stored(record)
-        _add_compares(revisions, self._gate(shape_of(stored)))
+        _add_compares(revisions, self._gate(layout_kind_of(stored)))
         return [Put(key, stored)]
 
 
--- a/src/cloverplank/kvstore/transaction_queue.py
+++ b/src/cloverplank/kvstore/transaction_queue.py
@@ -13,8 +13,8 @@
 
 from cloverplank.background import BackgroundTasks, wait_for_event
 from cloverplank.basic_types import NEVER, Clock, ModRevision, MonotonicTime
+from cloverplank.jobs.layout_kind import LayoutKind
 from cloverplank.jobs.records import FinalRecord
-from cloverplank.jobs.shapes import Shape
 from cloverplank.jobs.size_limits import RecordSizeLimits
 from cloverplank.jobs.store import CachedJob, ChangeOutcome, PendingChange
 from cloverplank.kvstore import keys
@@ -55,7 +55,7 @@
 DEFAULT_MAX_VALUE_BYTES = 64 * 1024  # where no other limit is given
 
 
-def _ungated(shape: Shape) -> list[Compare]:
+def _ungated(shape: LayoutKind) -> list[Compare]:
     return []
 
 
@@ -71,7 +71,7 @@
         watch_cache: WatchCache,
         clock: Clock,
         size_limits: RecordSizeLimits | None = None,
-        gate: Callable[[Shape], list[Compare]] = _ungated,
+        gate: Callable[[LayoutKind], list[Compare]] = _ungated,
     ) -> None:
         self._client = client
         self._watch_cache = watch_cache
--- a/src/cloverplank/rollout/committed.py
+++ b/src/cloverplank/rollout/committed.py
@@ -4,7 +4,7 @@
 
 from cloverplank.basic_types import JobId, ModRevision
 from cloverplank.feature_gates import COMPACT_RECORDS, NEWEST_VERSION, OLDEST_VERSION
-from cloverplank.jobs.shapes import CompactUse, Shape
+from cloverplank.jobs.layout_kind import CompactLayoutUse, LayoutKind
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.records.rollout import FormatRecord, RolloutPhase, RolloutRecord, initial_record
@@ -13,14 +13,14 @@
 GATE_KEYS = (keys.ROLLOUT, keys.FORMAT)  # the keys that decide which shapes may be written
 
 
-def compact_use(current: RolloutRecord) -> CompactUse:
+def compact_use(current: RolloutRecord) -> CompactLayoutUse:
     """Return what a rollout's state allows for the compact shape."""
     gate = COMPACT_RECORDS.version
     if current.version < gate:
-        return CompactUse.NEVER
+        return CompactLayoutUse.NEVER
     if current.version == gate and current.phase is RolloutPhase.RETREATING:
-        return CompactUse.LEAVING
-    return CompactUse.ALLOWED
+        return CompactLayoutUse.LEAVING
+    return CompactLayoutUse.ALLOWED
 
 
 def incompatibility(current: RolloutRecord) -> str | None:
@@ -55,21 +55,21 @@
         """Return the keys that decide about shapes and can't be read."""
         return [key for key in GATE_KEYS if key in self._watch_cache.unreadable]
 
-    def compact_use(self) -> CompactUse:
+    def compact_use(self) -> CompactLayoutUse:
         """Return what may be written in the compact shape now; nothing becomes compact where keys can't be read."""
-        return CompactUse.LEAVING if self.unreadable_keys() else compact_use(self.current())
+        return CompactLayoutUse.LEAVING if self.unreadable_keys() else compact_use(self.current())
 
     def compact_allowed(self) -> bool:
         """Return whether records may become compact."""
-        return self.compact_use() is CompactUse.ALLOWED
+        return self.compact_use() is CompactLayoutUse.ALLOWED
 
     def may_stay_compact(self, job: JobId) -> bool:
         """Return whether the record is stored compact and may stay so if it does not fit in the plain shape."""
-        return job in self._watch_cache.compact_jobs and self.compact_use() is CompactUse.LEAVING
+        return job in self._watch_cache.compact_jobs and self.compact_use() is CompactLayoutUse.LEAVING
 
-    def conditions(self, shape: Shape) -> list[Compare]:
+    def conditions(self, shape: LayoutKind) -> list[Compare]:
         """Return what a write of the shape is conditional on: the gate's keys as the watch cache has them."""
-        if shape is Shape.PLAIN:
+        if shape is LayoutKind.PLAIN:
             return []
         return [Compare(key, self._watch_cache.mod_revision_or_unreadable(key)) for key in GATE_KEYS]
 
--- a/src/cloverplank/rollout/migration.py
+++ b/src/cloverplank/rollout/migration.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 
 from cloverplank.basic_types import Clock, JobId, ModRevision
+from cloverplank.jobs.layout_kind import LayoutKind
 from cloverplank.jobs.records import JobRecord
-from cloverplank.jobs.shapes import Shape
 from cloverplank.jobs.size_limits import RecordSizeLimits
 from cloverplank.jobs.store import CachedJob, PendingChange
 from cloverplank.kvstore.transaction_priority import TransactionPriority
@@ -50,8 +50,8 @@
 
     def _in_other_shape(self) -> Iterator[CachedJob]:
         for job in self._watch_cache.store.jobs.values():
-            wanted = self._size_limits.shape(job.record)
-            if wanted is not (Shape.COMPACT if self._is_compact(job) else Shape.PLAIN):
+            wanted = self._size_limits.layout_kind(job.record)
+            if wanted is not (LayoutKind.COMPACT if self._is_compact(job) else LayoutKind.PLAIN):
                 yield job
 
     def stage_rewrites(self, remaining: list[CachedJob], since: ModRevision) -> None:
@@ -74,7 +74,7 @@
         """Return whether a rewrite changes anything: not for a record that fits in its present shape only."""
         return (
             job.mod_revision < since
-            or self._size_limits.shape(job.record) is not Shape.COMPACT
+            or self._size_limits.layout_kind(job.record) is not LayoutKind.COMPACT
             or not self._is_compact(job)
         )
 
--- a/src/cloverplank/rollout/status.py
+++ b/src/cloverplank/rollout/status.py
@@ -7,8 +7,8 @@
 from msgspec import Struct
 
 from cloverplank.feature_gates import FEATURES, NEWEST_VERSION, OLDEST_VERSION
-from cloverplank.jobs.layout import decode_stored, shape_of
-from cloverplank.jobs.shapes import Shape
+from cloverplank.jobs.layout import decode_stored, layout_kind_of
+from cloverplank.jobs.layout_kind import LayoutKind
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.snapshot import read_key_values
 from cloverplank.records.cluster import NodeRecord
@@ -81,7 +81,7 @@
         self.rollout: RolloutRecord | None = None
         self.announced = 0
         self.nodes: dict[str, NodeRecord] = {}
-        self.job_counts = dict.fromkeys(Shape, 0)
+        self.job_counts = dict.fromkeys(LayoutKind, 0)
         for key_value in key_values:
             try:
                 self._add(key_value.key, bytes(key_value.value))
@@ -96,7 +96,7 @@
         elif key.startswith(keys.NODES):
             self.nodes[key.removeprefix(keys.NODES)] = decode(data, NodeRecord)
         elif key.startswith(keys.JOBS):
-            self.job_counts[shape_of(decode_stored(data))] += 1
+            self.job_counts[layout_kind_of(decode_stored(data))] += 1
 
 
 def status_of(key_values: list[KeyValue], configured: frozenset[str]) -> RolloutStatus:
@@ -116,8 +116,8 @@
         compact=compact_use(current).value,
         controllers=controllers,
         waiting_for=_waiting_for(current, controllers),
-        records_plain=committed.job_counts[Shape.PLAIN],
-        records_compact=committed.job_counts[Shape.COMPACT],
+        records_plain=committed.job_counts[LayoutKind.PLAIN],
+        records_compact=committed.job_counts[LayoutKind.COMPACT],
         unreadable=committed.unreadable,
     )
 
--- a/tests/simulation/rollout_model.py
+++ b/tests/simulation/rollout_model.py
@@ -20,9 +20,9 @@
 
 from cloverplank.basic_types import Clock, ModRevision, NodeId
 from cloverplank.feature_gates import NEWEST_VERSION, OLDEST_VERSION
-from cloverplank.jobs.layout import CompactRecord, decode_stored, shape_of, stored
+from cloverplank.jobs.layout import CompactRecord, decode_stored, layout_kind_of, stored
+from cloverplank.jobs.layout_kind import LayoutKind
 from cloverplank.jobs.records import JobRecord, Run
-from cloverplank.jobs.shapes import Shape
 from cloverplank.jobs.store import JobStore
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.watch_cache import WatchCache
@@ -297,7 +297,7 @@
         conditions = [Compare(keys.job(job), view.mod_revision)]
         if process.program == ABLE:
             value = stored(view.record, MAX_PLAIN_BYTES, compact_allowed=process.committed.compact_allowed())
-            conditions += process.committed.conditions(shape_of(value))
+            conditions += process.committed.conditions(layout_kind_of(value))
         else:
             compact_allowed = process.program == UNAWARE and process.committed.announced() >= 1
             value = stored(view.record, MAX_PLAIN_BYTES, compact_allowed=compact_allowed)
@@ -314,8 +314,10 @@
     @invariant()
     def nobody_meets_a_shape_that_it_cannot_read(self) -> None:
         """Check that production never runs beside a compact record, and that somebody was allowed to write it."""
-        shapes = {shape_of(decode_stored(msgspec.msgpack.encode(self.state.items[keys.job(job)][0]))) for job in JOBS}
-        if Shape.COMPACT in shapes:
+        shapes = {
+            layout_kind_of(decode_stored(msgspec.msgpack.encode(self.state.items[keys.job(job)][0]))) for job in JOBS
+        }
+        if LayoutKind.COMPACT in shapes:
             assert all(process.program != PRODUCTION for process in self.running.values())
             assert self._version() >= 1 or any(p.program == UNAWARE for p in self.running.values())
 
