--- a/src/cloverplank/api/submission.py
+++ b/src/cloverplank/api/submission.py
@@ -15,7 +15,7 @@
 from cloverplank.basic_types import MS_PER_SECOND, JobId, MonotonicTime
 from cloverplank.errors import CloverplankError
 from cloverplank.jobs.blocked import BlockedJob
-from cloverplank.jobs.dependencies import UpstreamState, Verdict, decide
+from cloverplank.jobs.dependencies import DependencyVerdict, UpstreamState, dependency_verdict
 from cloverplank.jobs.records import BlockedJobRecord, FinalRecord, JobRecord, Phase
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.errors import OutcomeUnknownError
@@ -73,7 +73,7 @@
 class _UpstreamResult(Struct, frozen=True):
     """What becomes of a job by the states of its upstream jobs, and which of those are unfinished."""
 
-    verdict: Verdict
+    verdict: DependencyVerdict
     unfinished: list[JobId]
 
 
@@ -144,7 +144,7 @@
             raise SubmissionRejectedError(422, reason)
         conditions = job_absent(JobId(spec.id))
         upstream = await self._check_upstream(submission)
-        if upstream.verdict is Verdict.CANCEL:
+        if upstream.verdict is DependencyVerdict.CANCEL:
             self._check_size(spec, [], body_bytes)
             put = Put(keys.final(spec.id), FinalRecord(Phase.CANCELLED, spec.tasks))
             return _Acceptance(Transaction(conditions, [put]), Phase.CANCELLED.value)
@@ -179,9 +179,9 @@
         if upstream and self._blocked_jobs.is_cache_stale():
             raise OutcomeUnknownError("a cancellation of a job that it needs may not be known here")
         if await self._blocked_jobs.any_has_cancelled_upstream(upstream):
-            return _UpstreamResult(Verdict.CANCEL, [])
+            return _UpstreamResult(DependencyVerdict.CANCEL, [])
         unfinished = [job_id for job_id, state in states.items() if state is UpstreamState.UNFINISHED]
-        return _UpstreamResult(decide(states.values()), unfinished)
+        return _UpstreamResult(dependency_verdict(states.values()), unfinished)
 
     async def _read_missing(self, upstream: list[JobId]) -> None:
         """Read upstream jobs that are not in memory. Raises SubmissionRejectedError where one does not exist.
--- a/src/cloverplank/jobs/dependencies.py
+++ b/src/cloverplank/jobs/dependencies.py
@@ -29,7 +29,7 @@
     NOT_IN_MEMORY = "not in memory"  # ended some time ago; its final record must be read from the store
 
 
-class Verdict(Enum):
+class DependencyVerdict(Enum):
     """The decision on a blocked job."""
 
     RELEASE = "release"
@@ -41,19 +41,19 @@
 UpstreamStateLookup = Callable[[JobId], UpstreamState]
 
 
-def decide(states: Iterable[UpstreamState]) -> Verdict:
+def dependency_verdict(states: Iterable[UpstreamState]) -> DependencyVerdict:
     """Return the verdict on a blocked job, given the states of all its upstream jobs.
 
     DONE and CANCELLED are final states, so the verdicts RELEASE and CANCEL remain valid indefinitely.
     """
     present = set(states)
     if UpstreamState.CANCELLED in present:
-        return Verdict.CANCEL
+        return DependencyVerdict.CANCEL
     if UpstreamState.NOT_IN_MEMORY in present:
-        return Verdict.READ_UPSTREAM
+        return DependencyVerdict.READ_UPSTREAM
     if UpstreamState.UNFINISHED in present:
-        return Verdict.WAIT
-    return Verdict.RELEASE
+        return DependencyVerdict.WAIT
+    return DependencyVerdict.RELEASE
 
 
 def state_of_phase(phase: Phase) -> UpstreamState:
--- a/src/cloverplank/leader/dependency_reconciler.py
+++ b/src/cloverplank/leader/dependency_reconciler.py
@@ -14,7 +14,7 @@
 from cloverplank.background import BackgroundTasks, wait_for_event
 from cloverplank.basic_types import NEVER, Clock, JobId, ModRevision
 from cloverplank.jobs.blocked import BlockedJob
-from cloverplank.jobs.dependencies import UpstreamState, Verdict, decide
+from cloverplank.jobs.dependencies import DependencyVerdict, UpstreamState, dependency_verdict
 from cloverplank.kvstore import job_transitions
 from cloverplank.kvstore.controller_lease import ControllerLease
 from cloverplank.kvstore.errors import OutcomeUnknownError, StoreError, StoreUnavailableError
@@ -91,15 +91,15 @@
 
     def _decide(self, job: BlockedJob) -> None:
         states = {upstream: self._watch_cache.upstream_state(upstream) for upstream in job.upstream}
-        verdict = decide(states.values())
-        if verdict is Verdict.RELEASE:
+        verdict = dependency_verdict(states.values())
+        if verdict is DependencyVerdict.RELEASE:
             transaction = job_transitions.release(job, self._clock.wall_ms())
             self._start(job, self._commit(job, transaction, TransactionPriority.SUBMIT, outcome="released"))
-        elif verdict is Verdict.CANCEL:
+        elif verdict is DependencyVerdict.CANCEL:
             transaction = job_transitions.cancel(job)
             outcome = f"cancelled with {_in_state(states, UpstreamState.CANCELLED)[0]}"
             self._start(job, self._commit(job, transaction, TransactionPriority.CANCEL, outcome=outcome))
-        elif verdict is Verdict.READ_UPSTREAM:
+        elif verdict is DependencyVerdict.READ_UPSTREAM:
             self._start(job, self._read_final_states(_in_state(states, UpstreamState.NOT_IN_MEMORY)))
 
     def _start(self, job: BlockedJob, work: Coroutine[Any, Any, bool]) -> None:
--- a/tests/jobs/test_dependencies.py
+++ b/tests/jobs/test_dependencies.py
@@ -13,10 +13,10 @@
 from cloverplank.jobs.dependencies import (
     ESTIMATE_FACTOR,
     RANKS,
+    DependencyVerdict,
     EffectivePriorities,
     UpstreamState,
-    Verdict,
-    decide,
+    dependency_verdict,
     has_cancelled_upstream,
     not_in_memory,
     own_priority,
@@ -50,9 +50,9 @@
 
 @given(st.lists(st.sampled_from(UpstreamState)))
 def test_job_is_released_when_all_upstream_jobs_are_done_and_cancelled_with_any_of_them(states: list) -> None:
-    verdict = decide(states)
-    assert (verdict is Verdict.RELEASE) == (set(states) <= {UpstreamState.DONE})
-    assert (verdict is Verdict.CANCEL) == (UpstreamState.CANCELLED in states)
+    verdict = dependency_verdict(states)
+    assert (verdict is DependencyVerdict.RELEASE) == (set(states) <= {UpstreamState.DONE})
+    assert (verdict is DependencyVerdict.CANCEL) == (UpstreamState.CANCELLED in states)
 
 
 def only_first_is(state: UpstreamState) -> Callable[[JobId], UpstreamState]:
--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -11,7 +11,7 @@
 
 from cloverplank.api import users
 from cloverplank.jobs import dependencies, records
-from cloverplank.jobs.dependencies import Verdict
+from cloverplank.jobs.dependencies import DependencyVerdict
 from cloverplank.kvstore import controller_lease, linearizable_reader
 from cloverplank.kvstore.errors import StoreUnavailableError
 from cloverplank.leader import dependency_reconciler
@@ -287,7 +287,7 @@
 
 def test_too_early_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """The leader releases a job whose upstream job is not done."""
-    monkeypatch.setattr(dependency_reconciler, "decide", lambda states: Verdict.RELEASE)
+    monkeypatch.setattr(dependency_reconciler, "dependency_verdict", lambda states: DependencyVerdict.RELEASE)
 
     async def play() -> set[str]:
         world = World(seed=5)
@@ -300,7 +300,7 @@
 
 def test_orphaned_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """Neither the leader nor the controller that is asked looks at upstream jobs."""
-    monkeypatch.setattr(dependency_reconciler, "decide", lambda states: Verdict.WAIT)
+    monkeypatch.setattr(dependency_reconciler, "dependency_verdict", lambda states: DependencyVerdict.WAIT)
     monkeypatch.setattr(dependencies, "has_cancelled_upstream", lambda *_: False)
 
     async def play() -> set[str]:
