--- a/src/cloverplank/api/blocked_jobs.py
+++ b/src/cloverplank/api/blocked_jobs.py
@@ -60,7 +60,7 @@
         Reads what is not in memory; raises StoreError where the store does not respond.
         """
         blocked, state_of = self._watch_cache.blocked, self._watch_cache.upstream_state
-        for upstream in dependencies.not_in_memory(job, blocked, state_of):
+        for upstream in dependencies.upstream_not_in_memory(job, blocked, state_of):
             await self._reader.job(upstream)
         return dependencies.has_cancelled_upstream(job, blocked, state_of)
 
--- a/src/cloverplank/jobs/dependencies.py
+++ b/src/cloverplank/jobs/dependencies.py
@@ -78,7 +78,7 @@
     return list(found)
 
 
-def not_in_memory(job: BlockedJob, blocked_jobs: BlockedJobs, state_of: UpstreamStateLookup) -> list[JobId]:
+def upstream_not_in_memory(job: BlockedJob, blocked_jobs: BlockedJobs, state_of: UpstreamStateLookup) -> list[JobId]:
     """Return the upstream jobs whose states must be read before `has_cancelled_upstream` gives a reliable result."""
     return [
         upstream for upstream in _all_upstream(job, blocked_jobs) if state_of(upstream) is UpstreamState.NOT_IN_MEMORY
--- a/tests/jobs/test_dependencies.py
+++ b/tests/jobs/test_dependencies.py
@@ -18,8 +18,8 @@
     UpstreamState,
     dependency_verdict,
     has_cancelled_upstream,
-    not_in_memory,
     own_priority,
+    upstream_not_in_memory,
 )
 from cloverplank.jobs.records import BlockedJobRecord, JobRecord
 from cloverplank.scheduling.queue import scheduling_order
@@ -76,7 +76,7 @@
     def state_of(job: JobId) -> UpstreamState:
         return UpstreamState.NOT_IN_MEMORY if job in ("run-1", "run-9") else UpstreamState.UNFINISHED
 
-    assert sorted(not_in_memory(jobs.jobs[JobId("run-3")], jobs, state_of)) == ["run-1", "run-9"]
+    assert sorted(upstream_not_in_memory(jobs.jobs[JobId("run-3")], jobs, state_of)) == ["run-1", "run-9"]
 
 
 def test_first_job_of_a_chain_inherits_rank_and_due_time_of_the_last() -> None:
