--- a/src/cloverplank/api/submission.py
+++ b/src/cloverplank/api/submission.py
@@ -22,7 +22,7 @@
 from cloverplank.kvstore.job_transitions import job_absent
 from cloverplank.kvstore.transaction_priority import TransactionPriority
 from cloverplank.net.messages import Response, make_response, undecodable
-from cloverplank.scheduling.admission import refusal
+from cloverplank.scheduling.admission import rejection_reason
 from cloverplank.scheduling.quotas import Quota
 from cloverplank.wire.cloud import MachineType
 from cloverplank.wire.codec import MAX_BODY, MessageDecodeError, decode, json_size
@@ -139,7 +139,7 @@
         """Return how the job is accepted. Raises SubmissionRejectedError."""
         spec = submission.spec
         limits = self._limits
-        reason = refusal(spec, limits.quotas, limits.machine_types().values(), limits.zones)
+        reason = rejection_reason(spec, limits.quotas, limits.machine_types().values(), limits.zones)
         if reason:
             raise SubmissionRejectedError(422, reason)
         conditions = job_absent(JobId(spec.id))
--- a/src/cloverplank/scheduling/admission.py
+++ b/src/cloverplank/scheduling/admission.py
@@ -11,7 +11,9 @@
 from cloverplank.wire.users import JobSpec
 
 
-def refusal(spec: JobSpec, limits: Mapping[str, Quota], types: Iterable[MachineType], zones: Collection[str]) -> str:
+def rejection_reason(
+    spec: JobSpec, limits: Mapping[str, Quota], types: Iterable[MachineType], zones: Collection[str]
+) -> str:
     """Return the reason why a job can never run, or an empty string if it can. `limits`: the teams' quotas.
 
     Tasks of an array run independently of each other; all tasks of a service or a gang run at the same time.
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverplank.scheduling.admission import refusal
+from cloverplank.scheduling.admission import rejection_reason
 from cloverplank.scheduling.quotas import Quota
 from cloverplank.wire.cloud import MachineType
 from cloverplank.wire.users import JobSpec
@@ -69,7 +69,7 @@
 )
 def test_job_is_refused_exactly_if_no_split_can_ever_run_it(job: JobSpec, count: int, limit: Quota) -> None:
     zones = ZONES[:count]
-    assert bool(refusal(job, {"red": limit}, TYPES, zones)) is not can_run(job, zones, limit)
+    assert bool(rejection_reason(job, {"red": limit}, TYPES, zones)) is not can_run(job, zones, limit)
 
 
 def test_repeated_submission_of_an_accepted_job_is_never_refused() -> None:
