--- a/src/cloverplank/leader/zone_allocation.py
+++ b/src/cloverplank/leader/zone_allocation.py
@@ -144,7 +144,9 @@
             log.exception("job %s can't be allocated to zones", view.id)
             return
         cycle.unmet_demands += unmet_demands
-        if not quotas.covered(record, allocation) and not view.has_pending(Decision.ALLOCATION, Decision.PLACEMENT):
+        if not quotas.record_covers_allocation(record, allocation) and not view.has_pending(
+            Decision.ALLOCATION, Decision.PLACEMENT
+        ):
             self._stage(view, allocation, cycle)
 
     def _stage(self, view: CachedJob, allocation: dict[Zone, int], cycle: _Cycle) -> None:
--- a/src/cloverplank/scheduling/quotas.py
+++ b/src/cloverplank/scheduling/quotas.py
@@ -105,7 +105,7 @@
     return usage
 
 
-def covered(record: JobRecord, allocation: Mapping[Zone, int]) -> bool:
+def record_covers_allocation(record: JobRecord, allocation: Mapping[Zone, int]) -> bool:
     """Return whether the record's allocation allows as many tasks in each zone, and no more count against the team.
 
     As tasks end, the number of tasks that a job may still place shrinks without a commit. Committing the smaller
--- a/tests/jobs/test_records.py
+++ b/tests/jobs/test_records.py
@@ -295,7 +295,7 @@
     changes: if that rate falls by a third, placements of lower ranks wait a minute although hundreds of machines are
     free.
     """
-    assert bool(quotas.covered(partly_done, wanted)) == covered
+    assert bool(quotas.record_covers_allocation(partly_done, wanted)) == covered
 
 
 def test_done_tasks_are_not_held(partly_done: JobRecord) -> None:
