--- a/src/cloverplank/scheduling/quotas.py
+++ b/src/cloverplank/scheduling/quotas.py
@@ -43,7 +43,7 @@
     gpus: float = 0.0
 
 
-def affordable(record: JobRecord, left_cpus: float, left_gpus: float, max_tasks: int) -> int:
+def tasks_within_quota(record: JobRecord, left_cpus: float, left_gpus: float, max_tasks: int) -> int:
     """Return how many tasks of a job fit into the rest of a quota, at most `max_tasks`."""
     for requested, left in ((record.spec.cpus, left_cpus), (record.spec.gpus, left_gpus)):
         if requested > 0:
@@ -73,7 +73,7 @@
         quota = limits.get(spec.team, NO_QUOTA)
         planned = planned_usage[spec.team]
         missing = record.missing_count()
-        extra = affordable(record, quota.cpus - planned.cpus, quota.gpus - planned.gpus, missing)
+        extra = tasks_within_quota(record, quota.cpus - planned.cpus, quota.gpus - planned.gpus, missing)
         if spec.gang and extra < missing:
             extra = 0  # a gang is placed as a whole or not at all
         planned.cpus += extra * spec.cpus
@@ -81,7 +81,7 @@
         total = placed_count + extra
         if total > held_count:
             in_use = held_usage[spec.team]
-            more = affordable(record, quota.cpus - in_use.cpus, quota.gpus - in_use.gpus, total - held_count)
+            more = tasks_within_quota(record, quota.cpus - in_use.cpus, quota.gpus - in_use.gpus, total - held_count)
             in_use.cpus += more * spec.cpus
             in_use.gpus += more * spec.gpus
             is_partial_gang = spec.gang and held_count + more < total
--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -64,7 +64,7 @@
 
 
 def test_quota_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(quotas, "affordable", lambda record, cpus, gpus, most: most)
+    monkeypatch.setattr(quotas, "tasks_within_quota", lambda record, cpus, gpus, most: most)
     assert "quota" in broken(jobs=24, capacity=20)
 
 
