--- a/src/cloverplank/leader/zone_allocation.py
+++ b/src/cloverplank/leader/zone_allocation.py
@@ -188,7 +188,7 @@
             )
             up_for_s = 0.0 if entry.up_since is None else self._clock.monotonic() - entry.up_since
             capacity.reserved = not plan.admits(entry.zone, entry.id, up_for_s)
-            capacity.real = entry.is_up()
+            capacity.up = entry.is_up()
             result.append(capacity)
         return result
 
@@ -206,7 +206,7 @@
                     machine_type,
                     spot=provisioning.spot,
                     store=self._store,
-                    real=False,
+                    up=False,
                 )
                 for number in range(provisioning.count)
             ]
--- a/src/cloverplank/scheduling/capacity.py
+++ b/src/cloverplank/scheduling/capacity.py
@@ -30,7 +30,7 @@
     memory_gb: float
     images: Collection[str] = frozenset()
     empty: bool = True
-    real: bool = True  # the machine is up
+    up: bool = True  # the machine is up
     used: bool = False  # tasks were allocated on the machine in this scheduling cycle
     reserved: bool = False  # for important jobs, while the machine's zone recovers from a loss
 
@@ -122,7 +122,7 @@
         groups = self._groups = {}
         fullest_first = sorted(self.by_name.values(), key=lambda c: (c.empty, c.cpus, c.machine))
         for capacity in fullest_first:
-            group = (capacity.zone, capacity.real, capacity.spot)
+            group = (capacity.zone, capacity.up, capacity.spot)
             groups.setdefault(group, []).append(capacity)
         return groups
 
@@ -151,12 +151,12 @@
     def _in_order(self, spec: JobSpec, zone: Zone) -> Iterator[FreeCapacity]:
         """Yield machines in order of preference: up, spot if the job allows it, with the job's image, fullest."""
         groups = self._groups if self._groups is not None else self._sort_into_groups()
-        for real in (True, False):
+        for up in (True, False):
             for spot in (True, False) if spec.spot else (False, True):
-                if (zone, real, spot) not in groups:
+                if (zone, up, spot) not in groups:
                     continue
-                yield from self._having_image(groups, (zone, real, spot), spec.image)
-                for capacity in groups[zone, real, spot]:
+                yield from self._having_image(groups, (zone, up, spot), spec.image)
+                for capacity in groups[zone, up, spot]:
                     if spec.image not in capacity.images:
                         yield capacity
 
--- a/src/cloverplank/scheduling/capacity_cache.py
+++ b/src/cloverplank/scheduling/capacity_cache.py
@@ -23,9 +23,9 @@
     spot: bool,
     store: JobStore,
     images: Collection[str] = frozenset(),
-    real: bool = True,
+    up: bool = True,
 ) -> FreeCapacity:
-    """Return a machine's size minus all tasks that the staged records place on it. `real`: the machine is up."""
+    """Return a machine's size minus all tasks that the staged records place on it. `up`: the machine is up."""
     load = store.load(name)
     return FreeCapacity(
         machine=name,
@@ -37,7 +37,7 @@
         memory_gb=machine_type.memory_gb - load.memory_gb,
         images=load.images.union(images) if images else load.images,
         empty=not load.tasks,
-        real=real,
+        up=up,
     )
 
 
--- a/tests/jobs/test_records.py
+++ b/tests/jobs/test_records.py
@@ -201,8 +201,8 @@
 @given(st.integers(1, 30), st.lists(st.tuples(st.integers(0, 8), st.booleans(), st.booleans()), max_size=6))
 def test_placement_never_takes_more_than_the_free_capacity(limit: int, sizes: list) -> None:
     capacities = [
-        FreeCapacity(MachineId(f"m-{n}"), A, "g8", spot, float(size), 0.0, 99.0, real=real)
-        for n, (size, spot, real) in enumerate(sizes)
+        FreeCapacity(MachineId(f"m-{n}"), A, "g8", spot, float(size), 0.0, 99.0, up=up)
+        for n, (size, spot, up) in enumerate(sizes)
     ]
     record = JobRecord(spec(vcpus=3.0, loaners=False, pieces=40), 0)
     free = {capacity.machine: capacity.cpus for capacity in capacities}
