--- a/src/cloverplank/jobs/store.py
+++ b/src/cloverplank/jobs/store.py
@@ -74,7 +74,7 @@
         return max(self.record.held(), self.staged.held())
 
 
-class Load(Struct, frozen=True):
+class MachineLoad(Struct, frozen=True):
     """The resources and images that the staged records use on one machine."""
 
     cpus: float = 0.0
@@ -84,7 +84,7 @@
     images: frozenset[str] = frozenset()
 
 
-EMPTY_LOAD = Load()
+EMPTY_LOAD = MachineLoad()
 
 
 def _ignore_job_change(view: CachedJob | None, job: JobId) -> None:
@@ -110,7 +110,7 @@
     ) -> None:
         self.jobs: dict[JobId, CachedJob] = {}
         self.by_machine: dict[MachineId, set[JobId]] = {}
-        self._loads: dict[MachineId, Load] = {}  # cached until a job on the machine changes
+        self._loads: dict[MachineId, MachineLoad] = {}  # cached until a job on the machine changes
         self._changes = 0
         self._change_counts: dict[MachineId, int] = {}
         self._default_change_count = 0  # of machines that are not in `_change_counts`
@@ -163,7 +163,7 @@
         """Return the jobs that have tasks on the machine in their staged or committed record."""
         return [self.jobs[job] for job in self.by_machine.get(machine, ()) if job in self.jobs]
 
-    def load(self, machine: MachineId) -> Load:
+    def load(self, machine: MachineId) -> MachineLoad:
         """Return the load of the staged records on the machine."""
         load = self._loads.get(machine)
         if load is not None:
@@ -173,7 +173,7 @@
         load = self._loads[machine] = self._computed_load(machine)
         return load
 
-    def _computed_load(self, machine: MachineId) -> Load:
+    def _computed_load(self, machine: MachineId) -> MachineLoad:
         cpus = gpus = memory_gb = 0.0
         total_tasks = 0
         images = set()
@@ -185,7 +185,7 @@
                 memory_gb += spec.memory_gb * tasks
                 total_tasks += tasks
                 images.add(spec.image)
-        return Load(cpus, gpus, memory_gb, total_tasks, frozenset(images))
+        return MachineLoad(cpus, gpus, memory_gb, total_tasks, frozenset(images))
 
     def change_count(self, machine: MachineId) -> int:
         """Return a number that changes with each change of a record that has or had tasks on the machine."""
--- a/src/cloverplank/scheduling/capacity_cache.py
+++ b/src/cloverplank/scheduling/capacity_cache.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from cloverplank.basic_types import MachineId, Zone
-from cloverplank.jobs.store import JobStore, Load
+from cloverplank.jobs.store import JobStore, MachineLoad
 from cloverplank.scheduling.capacity import FreeCapacity
 from cloverplank.wire.cloud import MachineType
 
@@ -44,7 +44,7 @@
 class _CachedCapacity(Struct, frozen=True):
     """A machine's free capacity with the inputs that it was computed from."""
 
-    load: Load
+    load: MachineLoad
     images: frozenset[str]
     machine_type: MachineType
     capacity: FreeCapacity
