--- a/src/cloverplank/jobs/layout.py
+++ b/src/cloverplank/jobs/layout.py
@@ -66,7 +66,7 @@
     return LayoutKind.PLAIN if isinstance(stored, JobRecord) else LayoutKind.COMPACT
 
 
-def stored(record: JobRecord, value_bytes: int, *, compact_allowed: bool) -> StoredRecord:
+def to_stored(record: JobRecord, value_bytes: int, *, compact_allowed: bool) -> StoredRecord:
     """Return the record in the layout to store it in, which takes at most `value_bytes` if that is possible."""
     if not compact_allowed or len(record.runs) + len(record.done) // 2 <= MAX_UNMEASURED_RUNS:
         return record
--- a/src/cloverplank/jobs/size_limits.py
+++ b/src/cloverplank/jobs/size_limits.py
@@ -38,16 +38,16 @@
 
     def layout_kind(self, record: JobRecord) -> LayoutKind:
         """Return the kind of the layout that the record is to be stored in."""
-        return layout.layout_kind_of(self.stored(record))
+        return layout.layout_kind_of(self.to_stored(record))
 
-    def stored(self, record: JobRecord) -> StoredRecord:
+    def to_stored(self, record: JobRecord) -> StoredRecord:
         """Return the record in the layout that it is to be stored in."""
         allowed = self.compact_allowed() or self._stays_compact(record)
-        stored = layout.stored(record, self.lowest_value_bytes, compact_allowed=allowed)
+        stored = layout.to_stored(record, self.lowest_value_bytes, compact_allowed=allowed)
         if allowed and record.evictions and not self._fits(stored):
             # Eviction entries only determine how soon old copies of tasks are stopped; no guarantee depends on them.
             record = msgspec.structs.replace(record, evictions=[])
-            return layout.stored(record, self.lowest_value_bytes, compact_allowed=allowed)
+            return layout.to_stored(record, self.lowest_value_bytes, compact_allowed=allowed)
         return stored
 
     def _stays_compact(self, record: JobRecord) -> bool:
--- a/src/cloverplank/kvstore/job_transactions.py
+++ b/src/cloverplank/kvstore/job_transactions.py
@@ -77,7 +77,7 @@
         key = keys.job(job.id)
         if record.finished():
             return [Delete(key), Put(keys.final(job.id), FinalRecord(record.phase, record.spec.tasks))]
-        stored = self._size_limits.stored(record)
+        stored = self._size_limits.to_stored(record)
         _add_compares(revisions, self._gate(layout_kind_of(stored)))
         return [Put(key, stored)]
 
--- a/tests/jobs/test_layout.py
+++ b/tests/jobs/test_layout.py
@@ -78,7 +78,7 @@
 def test_machine_names_of_several_patterns_are_stored_plain() -> None:
     runs = [Run("m-000001", "a", 1, [0, 0]), Run("host-7", "a", 1, [1, 1])]
     record = JobRecord(spec(pieces=100), 1, runs=runs * 20)
-    assert layout.stored(record, LOWEST_VALUE_BYTES, compact_allowed=True) is record
+    assert layout.to_stored(record, LOWEST_VALUE_BYTES, compact_allowed=True) is record
 
 
 @pytest.fixture
@@ -91,12 +91,12 @@
 
 def test_record_is_stored_plain_until_every_controller_reads_the_compact_layout(large_record: JobRecord) -> None:
     """The size of the record makes no difference, since the previous version can't read the compact layout."""
-    stored = size_limits(8, compact_allowed=False).stored(large_record)
+    stored = size_limits(8, compact_allowed=False).to_stored(large_record)
     assert msgspec.msgpack.decode(encode(stored), type=messages.JobRecord).at == 1
 
 
 def test_large_record_is_stored_compact_where_that_is_allowed(large_record: JobRecord) -> None:
-    stored = size_limits(8, compact_allowed=True).stored(large_record)
+    stored = size_limits(8, compact_allowed=True).to_stored(large_record)
     with pytest.raises(msgspec.ValidationError):
         msgspec.msgpack.decode(encode(stored), type=messages.JobRecord)
     assert json_size(stored) <= LOWEST_VALUE_BYTES
@@ -113,14 +113,14 @@
         placements = [Placement(f"m-{n:06d}", "a", size) for n, size in zip(numbers, sizes, strict=True)]
         change = place(placements[: max(0, limits.remaining_runs(record))], record.next_attempt)
         record = change(record) or record
-        assert json_size(limits.stored(record)) <= LOWEST_VALUE_BYTES
+        assert json_size(limits.to_stored(record)) <= LOWEST_VALUE_BYTES
         exited = [run for run in record.runs if (run.attempt + run.tasks[0] + step) % 3 == 0]
         done = record.done
         for run in exited:
             done = ranges.union(done, run.tasks)
         left = [run for run in record.runs if run not in exited]
         record = msgspec.structs.replace(record, done=done, runs=left)
-        assert json_size(limits.stored(record)) <= LOWEST_VALUE_BYTES
+        assert json_size(limits.to_stored(record)) <= LOWEST_VALUE_BYTES
 
 
 def test_large_plain_record_can_be_rewritten_within_the_lower_limit() -> None:
@@ -129,7 +129,7 @@
     evictions = [Eviction(f"m-{n:06d}", 2, NOW_MS, 7) for n in range(20)]
     record = JobRecord(spec(pieces=250), NOW_MS, runs=runs, allocation={"tuul-hall": 250}, evictions=evictions)
     assert json_size(record) > 9_000
-    stored = size_limits(16, compact_allowed=True).stored(record)
+    stored = size_limits(16, compact_allowed=True).to_stored(record)
     assert json_size(stored) <= LOWEST_VALUE_BYTES
     assert decoded(encode(stored)).runs == runs
 
--- a/tests/simulation/rollout_model.py
+++ b/tests/simulation/rollout_model.py
@@ -20,7 +20,7 @@
 
 from cloverplank.basic_types import Clock, ModRevision, NodeId
 from cloverplank.feature_gates import NEWEST_VERSION, OLDEST_VERSION
-from cloverplank.jobs.layout import CompactRecord, decode_stored, layout_kind_of, stored
+from cloverplank.jobs.layout import CompactRecord, decode_stored, layout_kind_of, to_stored
 from cloverplank.jobs.layout_kind import LayoutKind
 from cloverplank.jobs.records import JobRecord, Run
 from cloverplank.jobs.store import JobStore
@@ -296,11 +296,11 @@
             return
         conditions = [Compare(keys.job(job), view.mod_revision)]
         if process.program == ABLE:
-            value = stored(view.record, MAX_PLAIN_BYTES, compact_allowed=process.committed.compact_allowed())
+            value = to_stored(view.record, MAX_PLAIN_BYTES, compact_allowed=process.committed.compact_allowed())
             conditions += process.committed.conditions(layout_kind_of(value))
         else:
             compact_allowed = process.program == UNAWARE and process.committed.announced() >= 1
-            value = stored(view.record, MAX_PLAIN_BYTES, compact_allowed=compact_allowed)
+            value = to_stored(view.record, MAX_PLAIN_BYTES, compact_allowed=compact_allowed)
         self._commit_perhaps_late(Transaction(conditions, [Put(keys.job(job), value)]), late)
 
     @precondition(lambda self: self.late)
