--- a/src/cloverplank/leader/zone_allocation.py
+++ b/src/cloverplank/leader/zone_allocation.py
@@ -127,7 +127,7 @@
             ):
                 headroom_reserved = True
                 self._reserve_headroom(cycle)
-            if queued_job.record.missing_count() and not queued_job.held:
+            if queued_job.record.missing_count() and not queued_job.deferred:
                 self._allocate(queued_job, cycle)
         if not headroom_reserved:
             self._reserve_headroom(cycle)
--- a/src/cloverplank/scheduling/queue.py
+++ b/src/cloverplank/scheduling/queue.py
@@ -29,7 +29,7 @@
     finish: float = 0.0  # earliest time at which it could be done, time of day in ms
     urgent: bool = True  # no longer waits for spot capacity
     overdue: int = NOT_OVERDUE
-    held: bool = False  # waits while more important jobs of a lost zone lack capacity
+    deferred: bool = False  # waits while more important jobs of a lost zone lack capacity
     effective_priority: EffectivePriority | None = None  # with inheritance from dependents; None: the own one
 
     @property
--- a/src/cloverplank/shard/placement.py
+++ b/src/cloverplank/shard/placement.py
@@ -112,7 +112,7 @@
             if not with_arrays and not view.record.spec.service and queued_job.rank > RANKS["urgent"]:
                 continue
             queued_job.record = view.staged  # the leader may have allocated tasks in this same cycle
-            if queued_job.held:
+            if queued_job.deferred:
                 continue
             if queued_job.record.allocation.get(state.zone, 0) > queued_job.record.placed(state.zone):
                 jobs.append((queued_job, view))
--- a/src/cloverplank/zones/plan.py
+++ b/src/cloverplank/zones/plan.py
@@ -121,7 +121,7 @@
             for queued_job in ordered
         )
         for queued_job in ordered:
-            queued_job.held = (
+            queued_job.deferred = (
                 is_holding and self.importance(queued_job) is Importance.BULK and self._may_hold(queued_job)
             )
         return ordered
--- a/tests/zones/test_plan.py
+++ b/tests/zones/test_plan.py
@@ -71,7 +71,7 @@
     ]
     assert deadlines == sorted(deadlines)
     for queued_job in arranged:
-        if queued_job.held:
+        if queued_job.deferred:
             evictions = [eviction.evicted_at for eviction in queued_job.record.evictions]
             waiting_ms = NOW - max([queued_job.record.runnable_at, *evictions])
             assert plan.importance(queued_job) is Importance.BULK
@@ -85,7 +85,7 @@
     queued_jobs = queue_of(records)
     for state in (ZoneHealth.HEALTHY, ZoneHealth.IMPAIRED):
         assert plan_of(state).arrange(queued_jobs) == queued_jobs
-        assert not any(queued_job.held for queued_job in queued_jobs)
+        assert not any(queued_job.deferred for queued_job in queued_jobs)
 
 
 @given(st.integers(0, 10**6), st.sampled_from(ADMISSION_STEPS))
@@ -113,8 +113,8 @@
     plan = plan_of(ZoneHealth.LOST, classes=ClassOrder(frozenset({"first-of-all"}), frozenset({"test-desk"})))
     by_id = {queued_job.record.id: queued_job for queued_job in plan.arrange(queue_of([bulk, service]))}
     assert list(by_id) == ["run-000001", "run-000002"]
-    assert by_id["run-000002"].held
-    assert not by_id["run-000001"].held
+    assert by_id["run-000002"].deferred
+    assert not by_id["run-000001"].deferred
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 3.0), st.integers(0, 50)), max_size=30))
