--- a/src/cloverplank/scheduling/capacity.py
+++ b/src/cloverplank/scheduling/capacity.py
@@ -148,7 +148,7 @@
             self._with_image[(*group, image)] = capacities
         return capacities
 
-    def _in_order(self, spec: JobSpec, zone: Zone) -> Iterator[FreeCapacity]:
+    def _in_packing_order(self, spec: JobSpec, zone: Zone) -> Iterator[FreeCapacity]:
         """Yield machines in order of preference: up, spot if the job allows it, with the job's image, fullest."""
         groups = self._groups if self._groups is not None else self._sort_into_groups()
         for up in (True, False):
@@ -175,7 +175,7 @@
         cpus, memory_gb = spec.cpus - EPSILON, spec.memory_gb - EPSILON
         self._remove_full()
         found = False
-        for capacity in self._in_order(spec, zone):
+        for capacity in self._in_packing_order(spec, zone):
             if (
                 capacity.cpus >= cpus
                 and capacity.memory_gb >= memory_gb
--- a/tests/simulation/test_many_machines.py
+++ b/tests/simulation/test_many_machines.py
@@ -130,7 +130,7 @@
 ) -> None:
     """Full machines are not examined again for each of the jobs of several sizes."""
     examined = 0
-    real = CapacityIndex._in_order
+    real = CapacityIndex._in_packing_order
 
     def counting(capacity_index: CapacityIndex, job: JobSpec, zone: Zone) -> Iterator[FreeCapacity]:
         nonlocal examined
@@ -138,7 +138,7 @@
             examined += 1
             yield capacity
 
-    monkeypatch.setattr(CapacityIndex, "_in_order", counting)
+    monkeypatch.setattr(CapacityIndex, "_in_packing_order", counting)
     names = [Zone(f"zone-{n}") for n in range(zones)]
     sizes = [4.0, 2.0, 1.0, 8.0]
     machines = [
