--- a/src/cloverplank/membership/failure_detector.py
+++ b/src/cloverplank/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector: collects evidence on each peer, and derives its state."""
+"""The failure detector: collects evidence on each peer controller and derives the peer's state from it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.membership import verdicts
 from cloverplank.membership.peer_monitor import PeerMonitor
-from cloverplank.membership.verdicts import Evidence, Levels, PeerState, Vote
+from cloverplank.membership.verdicts import Evidence, PeerState, SuspicionThresholds, Vote
 from cloverplank.records.verdicts import VerdictRecord
 from cloverplank.settings.failure_detection import FailureDetectionSettings
 from cloverplank.wire.gossip import GossipMessage, SuspectedPeer
@@ -22,24 +22,24 @@
 log = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.1
-MAX_OWN_LAG_S = 0.25  # a poll that is later than this shows that this controller itself was paused
-MAX_SUSPECTS = 50  # taken from one message, to bound memory
+MAX_POLL_LAG_S = 0.25  # a poll delayed by more than this shows that this controller itself was paused
+MAX_SUSPECTS_PER_MESSAGE = 50  # further suspects in a message are ignored, which bounds memory
 MAX_DAMPING_DOUBLINGS = 6
-WORKERS_FRESH_S = 4.0  # heartbeats older than this don't count
+MAX_HEARTBEAT_AGE_S = 4.0  # older heartbeats are no evidence that a worker reports to this controller
 
 
 class WorkerCounts(Struct, frozen=True):
-    """Workers that are known to be up, and those that sent heartbeats to this controller."""
+    """The number of workers that are known to be up, and of workers that sent heartbeats to this controller."""
 
     known: int = 0
     heard: int = 0
 
 
 class FailureDetector:
-    """Suspects peers that are silent. Disabled, it keeps nothing and decides nothing.
+    """Suspects peers that are silent. While disabled it tracks no peers and makes no decisions.
 
-    `workers_of` returns for a zone the workers that are known to be up and those that sent heartbeats here since a
-    moment. `broadcast` sends gossip at once.
+    `workers_of` counts the workers of a zone that are known to be up, and those that have sent heartbeats to this
+    controller since the given time. `broadcast` sends gossip to all peers immediately.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         broadcast: Callable[[], None],
     ) -> None:
         self.enabled = settings.enabled
-        self._levels = Levels(settings.suspect_level, settings.faulty_level)
+        self._thresholds = SuspicionThresholds(settings.suspect_level, settings.faulty_level)
         self._damping_ms = int(settings.damp_s * MS_PER_SECOND)
         self._zones = zones
         self._clock = clock
@@ -71,30 +71,30 @@
 
     # -- evidence
 
-    def heard(self, message: GossipMessage) -> None:
-        """Take a gossip message: a sign of life of its sender, and its votes on others."""
+    def record_message(self, message: GossipMessage) -> None:
+        """Record a gossip message: it shows that its sender is alive, and carries its votes on other controllers."""
         observer = NodeId(message.node)
         monitor = self._peers.get(observer)
         if monitor is None:
             return
         now = self._clock.monotonic()
-        monitor.heard(now, message.incarnation)
+        monitor.record_message(now, message.incarnation)
         for votes in self._votes.values():
             votes.pop(observer, None)
-        for suspect in message.suspects[:MAX_SUSPECTS]:
+        for suspect in message.suspects[:MAX_SUSPECTS_PER_MESSAGE]:
             if suspect.node == self._controller_lease.node_id:
                 self._refute(suspect)
             elif NodeId(suspect.node) in self._votes and suspect.node != message.node:
                 self._votes[NodeId(suspect.node)][observer] = Vote(observer, suspect.incarnation, now)
 
-    def requested(self, node: NodeId, *, answered: bool) -> None:
-        """Note that a request to a peer was answered, or not."""
+    def record_request(self, node: NodeId, *, answered: bool) -> None:
+        """Record whether a request to a peer was answered."""
         monitor = self._peers.get(node)
         if monitor is not None:
-            monitor.requested(self._clock.monotonic(), answered=answered)
+            monitor.record_request(self._clock.monotonic(), answered=answered)
 
     def _refute(self, suspect: SuspectedPeer) -> None:
-        """Answer a suspicion of this process with a later incarnation, which shows that it is alive."""
+        """Raise the incarnation above the suspected one and gossip it, which shows that this process is alive."""
         if suspect.incarnation >= self.incarnation:
             self.incarnation = suspect.incarnation + 1
             self._broadcast()
@@ -102,7 +102,7 @@
     # -- state
 
     def suspects(self) -> list[SuspectedPeer]:
-        """Return the peers that are suspected or faulty, for gossip."""
+        """Return the suspected and faulty peers, for gossip messages."""
         return [
             SuspectedPeer(node, self._peers[node].incarnation)
             for node, state in self._states.items()
@@ -110,9 +110,10 @@
         ]
 
     def is_damped(self, node: NodeId) -> bool:
-        """Return whether a controller that lost a shard by a verdict should not be assigned one yet.
+        """Return whether a controller that lost a shard by a verdict should not be assigned another one yet.
 
-        The time doubles with each verdict in a row, and lasts until the controller is alive again.
+        The damping time doubles with each consecutive verdict, up to MAX_DAMPING_DOUBLINGS times. Afterwards the
+        controller stays damped until it is alive again.
         """
         if not self.enabled:
             return False
@@ -125,24 +126,24 @@
         return self._states.get(node) not in (None, PeerState.ALIVE)
 
     def state(self, node: NodeId) -> PeerState | None:
-        """Return the state of a peer; None for a controller that is not watched."""
+        """Return the state of a peer, or None for a controller that is not tracked."""
         return self._states.get(node)
 
     def evidence(self, node: NodeId) -> Evidence:
-        """Return what the state of a peer was decided on; raise KeyError for one that is not watched."""
+        """Return the evidence of the last evaluation of a peer; raise KeyError for one that is not tracked."""
         return self._evidence[node]
 
     def majority_suspected(self) -> bool:
-        """Return whether most peers are suspected, which suggests a fault of this controller's own link."""
+        """Return whether most peers are suspected, which suggests a fault in this controller's own network link."""
         suspected = sum(state is not PeerState.ALIVE for state in self._states.values())
         return verdicts.majority_suspected(suspected, len(self._peers))
 
     # -- polling
 
     async def run(self) -> None:
-        """Evaluate every peer for ever, unless disabled.
+        """Evaluate every peer periodically, unless disabled.
 
-        It is a loop of its own, so that a late poll shows this controller's lag alone.
+        The loop does nothing else, so that a late poll measures this controller's own lag only.
         """
         polled_at = self._clock.monotonic()
         while self.enabled:
@@ -152,19 +153,19 @@
             polled_at = now
 
     def _poll(self, now: MonotonicTime, lag_s: float) -> None:
-        if lag_s > MAX_OWN_LAG_S:
+        if lag_s > MAX_POLL_LAG_S:
             for monitor in self._peers.values():
                 monitor.compensate_lag(lag_s)
-        self._evidence = {node: self._gather(node, now) for node in self._peers}
+        self._evidence = {node: self._gather_evidence(node, now) for node in self._peers}
         changed = [
-            self._update_state(node, verdicts.state_of(evidence, self._levels, now), evidence)
+            self._update_state(node, verdicts.state_of(evidence, self._thresholds, now), evidence)
             for node, evidence in self._evidence.items()
         ]
         if any(changed):
             self._broadcast()
 
     def _update_state(self, node: NodeId, state: PeerState, evidence: Evidence) -> bool:
-        """Return whether the state has changed."""
+        """Set the state of a peer, log a transition, and return whether the state has changed."""
         previous = self._states[node]
         if state is previous:
             return False
@@ -172,25 +173,25 @@
         log.info("peer %s: %s -> %s: %s", node, previous.value, state.value, verdicts.reason(evidence))
         return True
 
-    def _gather(self, node: NodeId, now: MonotonicTime) -> Evidence:
+    def _gather_evidence(self, node: NodeId, now: MonotonicTime) -> Evidence:
         monitor = self._peers[node]
         level = monitor.level(now)
         others = [other for other in self._peers if other != node and self._states[other] is PeerState.ALIVE]
         workers = WorkerCounts()
-        if level >= self._levels.suspect:
-            workers = self._count_workers(node, MonotonicTime(now - min(monitor.silent_s(now), WORKERS_FRESH_S)))
+        if level >= self._thresholds.suspect:
+            workers = self._count_workers(node, MonotonicTime(now - min(monitor.silent_s(now), MAX_HEARTBEAT_AGE_S)))
         return Evidence(
             level=level,
             incarnation=monitor.incarnation,
-            unanswering=monitor.is_unanswering(),
+            unresponsive=monitor.is_unresponsive(),
             votes=tuple(vote for vote in self._votes[node].values() if vote.observer in others),
             other_observers=len(others),
             workers=workers.known,
-            workers_elsewhere=workers.heard,
+            workers_reporting_here=workers.heard,
         )
 
     def _count_workers(self, node: NodeId, since: MonotonicTime) -> WorkerCounts:
-        """Count the workers of a peer's shards, and those of them that sent heartbeats here since then."""
+        """Count the workers of a peer's shards, and those that sent heartbeats to this controller since `since`."""
         counts = [
             self._workers_of(zone, since) for zone in self._zones if self._controller_lease.shard_owner(zone) == node
         ]
--- a/src/cloverplank/membership/gossip.py
+++ b/src/cloverplank/membership/gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between controllers, about once a second. It speeds things up; nothing that must be right depends on it."""
+"""Gossip between controllers, sent about once a second. It is an optimization: no guarantee depends on it."""
 
 from __future__ import annotations
 
@@ -33,47 +33,47 @@
 from cloverplank.wire.gossip import GOSSIP_PATH, GossipMessage, MachineGossip, SuspectedPeer
 from cloverplank.wire.users import ErrorResponse, valid_job_id
 
-GOSSIP_FRESH_S = 4.0  # an older message is ignored
-FULL_GOSSIP_PERIOD = 5  # every so many messages carry the machines to all peers; all messages carry them to the leader
-MAX_MACHINES_PER_MESSAGE = 150  # keeps a message well below the maximum size of a body
-MAX_MACHINES = 5_000  # taken from one message, to bound memory
-MAX_CANCELLED = 500  # cancellations in one message
-ANNOUNCE_CANCELLED_S = 3.0  # for how long a cancellation is repeated
-CANCELLED_BATCH_DELAY_S = 0.005  # cancellations of the same moment go in one message
-SEND_TIMEOUT_S = 0.9  # of one request; also the minimum interval between two messages
-SEND_JITTER_S = 0.2  # keeps controllers from sending at the same moments
-WORKER_TTL_S = 6.0  # a worker counts for this long after a heartbeat
-MAX_WORKERS_PER_ZONE = 20_000  # bounds memory
-STORE_DOWN_S = 1.0  # failures of the key-value store that last this long are gossiped
+GOSSIP_FRESH_S = 4.0  # messages received longer ago than this are ignored
+ROUNDS_PER_FULL_GOSSIP = 5  # the leader gets the machines in every round, the other peers only once in this many rounds
+MAX_MACHINES_PER_MESSAGE = 150  # keeps a message well below the maximum body size
+MAX_MACHINES = 5_000  # further machines in a received message are ignored, which bounds memory
+MAX_CANCELLATIONS_PER_MESSAGE = 500  # bounds a message's size and the work of its receiver
+CANCELLATION_REPEAT_S = 3.0  # messages repeat a cancellation for this long
+CANCELLATION_BATCH_DELAY_S = 0.005  # cancellations committed within this time share a message
+SEND_TIMEOUT_S = 0.9  # time limit of one request, and the minimum interval between two gossip rounds
+SEND_JITTER_S = 0.2  # random addition to the interval, which keeps controllers from sending simultaneously
+WORKER_TTL_S = 6.0  # a worker is counted for this long after its last heartbeat to this controller
+MAX_WORKERS_PER_ZONE = 20_000  # bounds the memory for recorded heartbeats
+MIN_STORE_OUTAGE_S = 1.0  # shorter outages of the key-value store are not gossiped
 
 
 class ReceivedGossip(Struct, frozen=True):
-    """A message of a peer, and when it came."""
+    """A gossip message of a peer and the time at which it was received."""
 
     message: GossipMessage
     received_at: MonotonicTime
 
 
 class PeerObserver(Protocol):
-    """Learns from gossip which peers are alive, and returns those that it suspects."""
+    """Derives from gossip and responses which peers are alive, and names the peers that it suspects."""
 
     incarnation: int
 
-    def heard(self, message: GossipMessage) -> None:
-        """Take a gossip message of a peer."""
+    def record_message(self, message: GossipMessage) -> None:
+        """Record a gossip message of a peer."""
 
-    def requested(self, node: NodeId, *, answered: bool) -> None:
-        """Note that a request to a peer was answered, or not."""
+    def record_request(self, node: NodeId, *, answered: bool) -> None:
+        """Record whether a request to a peer was answered."""
 
     def suspects(self) -> list[SuspectedPeer]:
         """Return the peers that this controller suspects."""
 
 
-class OwnedMachines(Protocol):
-    """What this controller gossips of the shards that it owns."""
+class OwnedShardsView(Protocol):
+    """Provides the gossiped data of the shards that this controller owns."""
 
     def tokens(self) -> dict[str, int]:
-        """Return the fencing token of each shard that nobody has superseded."""
+        """Return the fencing token of each owned shard for which no later assignment is known."""
 
     def machine_gossip(self) -> list[MachineGossip]:
         """Return the machines of the owned shards."""
@@ -82,8 +82,8 @@
 class PeerGossip:
     """Sends this controller's gossip and keeps the latest message of each peer.
 
-    `received` holds that message by peer. `owned` are the shards of this controller, and
-    `observer` learns of all messages and responses.
+    `received` holds the latest message by peer. `owned` provides the gossiped data of this controller's shards, and
+    `observer` is notified of all messages and responses.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
         queue: TransactionQueue,
         store: JobStore,
         registry: MachineRegistry,
-        owned: OwnedMachines,
+        owned: OwnedShardsView,
         observer: PeerObserver,
     ) -> None:
         self._platform = platform
@@ -114,33 +114,34 @@
         self._observer = observer
         self.received: dict[NodeId, ReceivedGossip] = {}
         self._workers: dict[str, dict[str, MonotonicTime]] = {zone: {} for zone in platform.facts.zones}
-        self._cancellations: dict[JobId, MonotonicTime] = {}  # committed here recently
+        # Time of each cancellation that this controller committed recently.
+        self._cancellations: dict[JobId, MonotonicTime] = {}
         self._announcing = False
         self.tasks = BackgroundTasks()
 
     # -- receiving
 
     def latest(self, node: NodeId, within_s: float = GOSSIP_FRESH_S) -> GossipMessage | None:
-        """Return the peer's latest message if it is not older than `within_s`."""
+        """Return the latest message of a peer, or None if it was received `within_s` seconds ago or earlier."""
         latest = self.received.get(node)
         if latest is None or self._clock.monotonic() - latest.received_at >= within_s:
             return None
         return latest.message
 
     def all_latest(self, within_s: float = GOSSIP_FRESH_S) -> dict[NodeId, GossipMessage]:
-        """Return the latest messages that are not older than `within_s`, by peer."""
+        """Return the latest messages that were received less than `within_s` seconds ago, by peer."""
         latest = {node: self.latest(node, within_s) for node in self.received}
         return {node: message for node, message in latest.items() if message is not None}
 
     def demand_of(self, node: NodeId) -> float:
-        """Return the changes a second that a peer would commit."""
+        """Return the number of changes per second that a peer needs to commit, 0 without a recent message."""
         message = self.latest(node)
         return 0.0 if message is None else message.demand
 
     def later_owner(self, zone: Zone, known_token: int) -> NodeId | None:
-        """Return the peer with the latest assignment of a shard, if it is later than the one known here.
+        """Return the peer with the latest assignment of a shard, if it is later than `known_token`.
 
-        A controller that the key-value store refuses has no other way to learn where to send its workers.
+        A controller whose requests the key-value store refuses has no other way to learn where to redirect its workers.
         """
         owners = [
             (message.shard_tokens[zone], node)
@@ -150,12 +151,12 @@
         return max(owners)[1] if owners else None
 
     def declines_workers(self, node: NodeId) -> bool:
-        """Return whether a peer says that it hears no workers, so that it is useless to send any there."""
+        """Return whether a peer reports that no workers reach it, so that none should be redirected to it."""
         message = self.latest(node)
         return message is not None and message.declines_assignments
 
     async def handle(self, request: Request) -> Response:
-        """Handle a request of a peer."""
+        """Handle an HTTP request of a peer."""
         if request.path != GOSSIP_PATH:
             return no_such_path()
         if request.method != "POST":
@@ -166,24 +167,24 @@
             return undecodable(err)
         if message.node not in {peer.label for peer in self._platform.peers}:
             return make_response(400, ErrorResponse("unknown peer"))
-        self._take(message)
+        self._accept(message)
         return make_response(200)
 
-    def _take(self, message: GossipMessage) -> None:
+    def _accept(self, message: GossipMessage) -> None:
         now = self._clock.monotonic()
         self.received[NodeId(message.node)] = ReceivedGossip(message, now)
-        self._observer.heard(message)
-        for job in message.cancelled[:MAX_CANCELLED]:
+        self._observer.record_message(message)
+        for job in message.cancelled[:MAX_CANCELLATIONS_PER_MESSAGE]:
             if valid_job_id(job):
                 self._store.note_gossiped_cancellation(JobId(job), now)
         for machine in message.machines[:MAX_MACHINES]:
             if self._controller_lease.shard_owner(machine.zone) == message.node:
                 self._registry.apply_gossip(machine)
 
-    # -- workers that send their heartbeats here
+    # -- workers that send their heartbeats to this controller
 
     def note_worker(self, zone: str, machine: str) -> bool:
-        """Note a worker's heartbeat; return False if there is no such zone."""
+        """Record a worker's heartbeat; return False if the zone is unknown."""
         workers = self._workers.get(zone)
         if workers is None:
             return False
@@ -192,11 +193,11 @@
         return True
 
     def count_workers_heard(self, zone: str, since: MonotonicTime) -> int:
-        """Return how many workers of a zone have sent a heartbeat here since then."""
+        """Return how many workers of a zone have sent a heartbeat to this controller since `since`."""
         return sum(heard_at >= since for heard_at in self._workers.get(zone, {}).values())
 
     def hears_workers(self, zone: str) -> bool:
-        """Return whether this controller or, by its gossip, a peer hears workers of a zone."""
+        """Return whether this controller or, according to gossip, a peer receives heartbeats of a zone's workers."""
         return bool(self._workers.get(zone)) or any(
             message.worker_counts.get(zone, 0) for message in self.all_latest().values()
         )
@@ -211,38 +212,40 @@
     # -- sending
 
     async def run(self) -> None:
-        """Send gossip for ever."""
-        number = 0
+        """Send gossip periodically until cancelled."""
+        round_number = 0
         while True:
             self._forget_silent_workers()
-            self._send_all(machines_to_all=number % FULL_GOSSIP_PERIOD == 0)
-            number += 1
+            self._send_all(machines_to_all=round_number % ROUNDS_PER_FULL_GOSSIP == 0)
+            round_number += 1
             self._http.close_idle()
             await asyncio.sleep(SEND_TIMEOUT_S + SEND_JITTER_S * self._rng.random())
 
     def announce_cancelled(self, job: JobId) -> None:
-        """Gossip at once that the cancellation of a job was committed here.
+        """Gossip immediately that this controller has committed the cancellation of a job.
 
-        A shard owner that the key-value store refuses can learn of it in no other way, and any other owner learns of it
-        sooner than from its watch.
+        A shard owner whose requests the key-value store refuses has no other way to learn of the cancellation, and any
+        other owner learns of it sooner than from its watch.
         """
         now = self._clock.monotonic()
-        expired = [old for old, at in self._cancellations.items() if now - at > ANNOUNCE_CANCELLED_S]
+        expired = [
+            old for old, committed_at in self._cancellations.items() if now - committed_at > CANCELLATION_REPEAT_S
+        ]
         for old in expired:
             del self._cancellations[old]
-        if len(self._cancellations) < MAX_CANCELLED:
+        if len(self._cancellations) < MAX_CANCELLATIONS_PER_MESSAGE:
             self._cancellations[job] = now
         if not self._announcing:
             self._announcing = True
             self.tasks.spawn(self._announce_cancelled())
 
     async def _announce_cancelled(self) -> None:
-        await asyncio.sleep(CANCELLED_BATCH_DELAY_S)
+        await asyncio.sleep(CANCELLATION_BATCH_DELAY_S)
         self._announcing = False
         self.broadcast()
 
     def introduce(self) -> None:
-        """Send gossip to a new leader at once: it assigns shards to controllers that it knows to be healthy."""
+        """Send gossip to a new leader immediately: it assigns shards to controllers that it knows to be healthy."""
         leader = self._controller_lease.leader()
         if leader is None:
             return
@@ -252,13 +255,13 @@
                 self.tasks.spawn(self._send(peer, [body]))
 
     def broadcast(self) -> None:
-        """Send gossip without machines to all peers at once."""
+        """Send gossip without machines to all peers immediately."""
         body = encode(self._own_message())
         for peer in self._platform.peers:
             self.tasks.spawn(self._send(peer, [body]))
 
     def _send_all(self, *, machines_to_all: bool) -> None:
-        """Send gossip to all peers; the machines go to the leader, and to the others if asked for."""
+        """Send gossip to all peers, with the machines to the leader and, if `machines_to_all`, to the others too."""
         message = self._own_message()
         leader = self._controller_lease.leader()
         with_machines = {
@@ -267,7 +270,7 @@
             if machines_to_all or (leader is not None and leader.record.node == peer.label)
         }
         machines = self._owned.machine_gossip() if with_machines else []
-        # In parts: the machines of a large shard would exceed the maximum size of a body.
+        # Split into several bodies, since the machines of a large shard would exceed the maximum body size.
         parts = [
             encode(msgspec.structs.replace(message, machines=machines[start : start + MAX_MACHINES_PER_MESSAGE]))
             for start in range(0, max(1, len(machines)), MAX_MACHINES_PER_MESSAGE)
@@ -278,17 +281,19 @@
             self.tasks.spawn(self._send(peer, bodies))
 
     def _own_message(self) -> GossipMessage:
-        """Return this controller's message without machines."""
+        """Return this controller's gossip message without machines."""
         now = self._clock.monotonic()
         return GossipMessage(
             self._controller_lease.node_id,
             self._platform.location,
-            store_available=not self._client.down(STORE_DOWN_S),
+            store_available=not self._client.down(MIN_STORE_OUTAGE_S),
             worker_counts={zone: len(workers) for zone, workers in self._workers.items()},
             shard_tokens=self._owned.tokens(),
             declines_assignments=now < self._controller_lease.declines_assignments_until,
             demand=self._queue.demand(),
-            cancelled=[job for job, at in self._cancellations.items() if now - at <= ANNOUNCE_CANCELLED_S],
+            cancelled=[
+                job for job, committed_at in self._cancellations.items() if now - committed_at <= CANCELLATION_REPEAT_S
+            ],
             incarnation=self._observer.incarnation,
             suspects=self._observer.suspects(),
         )
@@ -299,8 +304,8 @@
             for body in bodies:
                 await self._http.request(peer.peer_addr, "POST", GOSSIP_PATH, body, SEND_TIMEOUT_S)
         except NoFreeSocketError:
-            return  # a shortage of this controller's own sockets says nothing of the peer
+            return  # a shortage of local sockets is no evidence on the peer
         except NoResponseError:
-            self._observer.requested(node, answered=False)
+            self._observer.record_request(node, answered=False)
         else:
-            self._observer.requested(node, answered=True)
+            self._observer.record_request(node, answered=True)
--- a/src/cloverplank/membership/status.py
+++ b/src/cloverplank/membership/status.py
@@ -1,4 +1,4 @@
-"""Status of the controllers: their roles and the last verdicts, made from committed keys alone."""
+"""Status of the controllers: their roles and latest verdicts, derived from committed keys alone."""
 
 from __future__ import annotations
 
@@ -16,8 +16,11 @@
 from cloverplank.wire.status import Status
 
 
-class ControllerDuties(Struct, frozen=True):
-    """One configured controller, or one that holds a lease."""
+class ControllerStatus(Struct, frozen=True):
+    """The status of a controller that is configured or has a node record.
+
+    `present` says whether it holds a lease. `verdict` is the latest verdict on it, if there was one.
+    """
 
     name: str
     present: bool
@@ -28,18 +31,18 @@
 
 
 class ControllersStatus(Status, frozen=True):
-    """All controllers; `unreadable` names keys whose values can't be decoded."""
+    """The status of all controllers; `unreadable` lists the keys whose values can't be decoded."""
 
-    controllers: list[ControllerDuties]
+    controllers: list[ControllerStatus]
     unreadable: list[str]
 
     def as_text(self) -> str:
-        """Return one line for each controller."""
+        """Return one line for each controller and each unreadable key."""
         lines = [_line(controller) for controller in self.controllers]
         return "\n".join([*lines, *(f"can't be read: {key}" for key in self.unreadable)])
 
 
-def _line(controller: ControllerDuties) -> str:
+def _line(controller: ControllerStatus) -> str:
     parts = [f"{controller.name}: {'there' if controller.present else 'not there'}"]
     if controller.is_leader:
         parts.append("leads")
@@ -52,7 +55,7 @@
 
 
 class _ClusterRecords(Struct):
-    """The decoded rows."""
+    """The decoded records, from which the status is derived."""
 
     nodes: dict[str, NodeRecord] = field(default_factory=dict)
     owned_shards: dict[str, list[str]] = field(default_factory=dict)  # by controller
@@ -60,30 +63,30 @@
     leader: str = ""
     unreadable: list[str] = field(default_factory=list)
 
-    def add(self, row: KeyValue) -> None:
-        """Decode a row; raise MessageDecodeError if its value is no record."""
-        data = bytes(row.value)
-        if row.key.startswith(keys.NODES):
-            self.nodes[row.key.removeprefix(keys.NODES)] = decode(data, NodeRecord)
-        elif row.key.startswith(keys.SHARDS):
+    def add(self, key_value: KeyValue) -> None:
+        """Decode a key's value into its record; raise MessageDecodeError if the value is invalid."""
+        data = bytes(key_value.value)
+        if key_value.key.startswith(keys.NODES):
+            self.nodes[key_value.key.removeprefix(keys.NODES)] = decode(data, NodeRecord)
+        elif key_value.key.startswith(keys.SHARDS):
             shard = decode(data, ShardRecord)
             self.owned_shards.setdefault(shard.node, []).append(shard.zone)
-        elif row.key.startswith(keys.VERDICTS):
-            self.verdicts[row.key.removeprefix(keys.VERDICTS)] = decode(data, VerdictRecord)
-        elif row.key == keys.LEADER:
+        elif key_value.key.startswith(keys.VERDICTS):
+            self.verdicts[key_value.key.removeprefix(keys.VERDICTS)] = decode(data, VerdictRecord)
+        elif key_value.key == keys.LEADER:
             self.leader = decode(data, LeaderRecord).node
 
 
-def status_of(rows: Iterable[KeyValue], configured: frozenset[str]) -> ControllersStatus:
-    """Return the status that the rows show, of the configured controllers and of others that hold a lease."""
+def status_of(key_values: Iterable[KeyValue], configured: frozenset[str]) -> ControllersStatus:
+    """Derive the status of the configured controllers, and of others with a node record, from the committed keys."""
     records = _ClusterRecords()
-    for row in rows:
+    for key_value in key_values:
         try:
-            records.add(row)
+            records.add(key_value)
         except MessageDecodeError:
-            records.unreadable.append(row.key)
+            records.unreadable.append(key_value.key)
     controllers = [
-        ControllerDuties(
+        ControllerStatus(
             name,
             present=name in records.nodes and records.nodes[name].is_live(),
             zone=records.nodes[name].zone if name in records.nodes else None,
@@ -97,6 +100,6 @@
 
 
 def read_status(platform: PlatformSettings) -> ControllersStatus:
-    """Read the status from the key-value store; raise StoreError if it doesn't respond."""
-    rows = read_key_values(platform, (keys.NODES, keys.SHARDS, keys.VERDICTS, keys.LEADER))
-    return status_of(rows, platform.controllers())
+    """Read the status from the key-value store; raise StoreError if the store doesn't respond."""
+    key_values = read_key_values(platform, (keys.NODES, keys.SHARDS, keys.VERDICTS, keys.LEADER))
+    return status_of(key_values, platform.controllers())
--- a/src/cloverplank/membership/verdicts.py
+++ b/src/cloverplank/membership/verdicts.py
@@ -1,4 +1,4 @@
-"""When a suspected controller is judged faulty: pure decisions over typed evidence."""
+"""Rules by which a suspected controller is judged faulty: pure functions of the evidence."""
 
 from __future__ import annotations
 
@@ -8,28 +8,30 @@
 
 from cloverplank.basic_types import MonotonicTime, NodeId
 
-VOTE_FRESH_S = 3.0  # an older vote of another peer does not count
-MIN_WORKERS_FRACTION = 0.5  # of a zone's workers, which have to send their heartbeats elsewhere
-MIN_WORKERS = 3  # fewer send them elsewhere by chance
+VOTE_FRESH_S = 3.0  # votes received longer ago than this are ignored
+# A verdict without a majority of votes needs at least this fraction of the peer's workers, and this number of them, to
+# send their heartbeats to this controller instead.
+MIN_REPORTING_WORKERS_FRACTION = 0.5
+MIN_REPORTING_WORKERS = 3  # fewer workers may change controllers by chance
 
 
 class PeerState(Enum):
-    """What this controller thinks of a peer."""
+    """The state of a peer as this controller judges it."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
     FAULTY = "faulty"
 
 
-class Levels(Struct, frozen=True):
-    """Suspicion levels from which on a peer is suspected, and may be judged faulty."""
+class SuspicionThresholds(Struct, frozen=True):
+    """The lowest suspicion levels at which a peer is suspected, and at which it may be judged faulty."""
 
     suspect: float
     faulty: float
 
 
 class Vote(Struct, frozen=True):
-    """Another peer suspects this incarnation."""
+    """A gossiped suspicion: `observer` suspects this incarnation of the peer."""
 
     observer: NodeId
     incarnation: int
@@ -37,22 +39,27 @@
 
 
 class Evidence(Struct, frozen=True):
-    """All that is known of one suspected peer."""
+    """The evidence on one peer at one moment.
+
+    `level` is its suspicion level. `other_observers` counts the other peers that are alive and could vote. `workers`
+    counts the workers of its zones that are known to be up; `workers_reporting_here` counts those of them that have
+    sent heartbeats to this controller since the peer fell silent.
+    """
 
     level: float
     incarnation: int
-    unanswering: bool  # it gave no response to the last request
+    unresponsive: bool  # a request to it got no response
     votes: tuple[Vote, ...]
-    other_observers: int  # peers that are alive and could vote
-    workers: int  # of its zones, known to be up
-    workers_elsewhere: int  # of these, those that sent heartbeats here since it fell silent
+    other_observers: int
+    workers: int
+    workers_reporting_here: int
 
 
-def state_of(evidence: Evidence, levels: Levels, now: MonotonicTime) -> PeerState:
-    """Return the state of a peer: suspected by its silence alone, faulty if more than one observer confirms it."""
-    if evidence.level < levels.suspect:
+def state_of(evidence: Evidence, thresholds: SuspicionThresholds, now: MonotonicTime) -> PeerState:
+    """Return the state of a peer: suspected for silence alone, faulty if other observers or workers confirm it."""
+    if evidence.level < thresholds.suspect:
         return PeerState.ALIVE
-    if evidence.level < levels.faulty or not evidence.unanswering:
+    if evidence.level < thresholds.faulty or not evidence.unresponsive:
         return PeerState.SUSPECTED
     return PeerState.FAULTY if _is_confirmed(evidence, now) else PeerState.SUSPECTED
 
@@ -65,21 +72,21 @@
     }
     if evidence.other_observers and 2 * len(agreeing) > evidence.other_observers:
         return True
-    # Without a majority of votes the workers show which of the controllers can be reached.
-    min_elsewhere = max(MIN_WORKERS, MIN_WORKERS_FRACTION * evidence.workers)
-    most_workers_left = evidence.workers_elsewhere >= min_elsewhere
-    return most_workers_left and not (evidence.other_observers and not agreeing)
+    # Without a majority of votes, the workers' choice of controller shows which controllers are reachable.
+    min_reporting_here = max(MIN_REPORTING_WORKERS, MIN_REPORTING_WORKERS_FRACTION * evidence.workers)
+    most_workers_moved = evidence.workers_reporting_here >= min_reporting_here
+    return most_workers_moved and not (evidence.other_observers and not agreeing)
 
 
 def majority_suspected(suspected: int, peers: int) -> bool:
-    """Return whether most peers are suspected, which suggests a fault of this controller's own link."""
+    """Return whether most peers are suspected, which suggests a fault in this controller's own network link."""
     return peers > 1 and 2 * suspected > peers
 
 
 def reason(evidence: Evidence) -> str:
-    """Return the evidence in one line, for the log and the stored verdict."""
+    """Return the evidence as one line for the log and the stored verdict."""
     return (
         f"silent for {evidence.level:.1f} usual intervals, no answer, "
         f"{len(evidence.votes)} of {evidence.other_observers} other controllers suspect it, "
-        f"{evidence.workers_elsewhere} of {evidence.workers} workers ask elsewhere"
+        f"{evidence.workers_reporting_here} of {evidence.workers} workers ask elsewhere"
     )
--- a/tests/membership/scenarios.py
+++ b/tests/membership/scenarios.py
@@ -1,4 +1,4 @@
-"""Set-up for controllers that fail, pause or lose links in the simulated world, with the rules checked throughout."""
+"""Simulated scenarios in which controllers fail, pause or lose links; the invariants are checked throughout."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 
 def handovers(world: World) -> list[dict]:
-    """Return the committed verdicts, in their order."""
+    """Return the committed verdicts in commit order."""
     return [entry["value"] for entry in world.state.log if entry.get("put", "").startswith(keys.VERDICTS)]
 
 
 def play(fault: Scenario, seed: int, operator: OperatorSettings = DETECTOR_ENABLED, **fields: Any) -> World:
-    """Play a day with the fault; raises AssertionError for each broken rule."""
+    """Simulate a day with the fault; raise AssertionError for a violated invariant."""
     return play_day(lambda: World(seed, operator=operator, **fields), fault, jobs=10)
 
 
 async def separate_shard_owner(world: World) -> str:
-    """Restart leaders until leader and shard owner are two processes; return the shard owner."""
+    """Restart the leader until leader and shard owner are different controllers; return the shard owner."""
     for _ in range(60):
         owner = shard_owner(world)
         if owner != leader(world):
             return owner
         world.spawn(world.restart(leader(world), 0.5))
         await asyncio.sleep(6)
-    raise AssertionError("leader and shard owner are always the same")
+    raise AssertionError("leader and shard owner are still the same controller after 60 restarts")
--- a/tests/membership/test_handover.py
+++ b/tests/membership/test_handover.py
@@ -1,4 +1,4 @@
-"""Handover of shards from controllers that crash, pause or lose links."""
+"""Tests of the handover of shards from controllers that crash, pause or lose links."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     world.crash(owner)
     while world.state.items[f"cp/block/{world.zones[0]}"][0]["node"] == owner:
         await asyncio.sleep(0.02)
-        assert world.now() - crashed_at < 3.5, "not before the lease has expired"
+        assert world.now() - crashed_at < 3.5, "the shard was not handed over before the lease expired"
     await asyncio.sleep(2)
     world.start(owner)
     assert [verdict["node"] for verdict in handovers(world)] == [owner]
@@ -41,12 +41,12 @@
 
 
 @pytest.mark.parametrize("seed", [91, 92])
-def test_crashed_owner_is_handed_over_before_its_lease_expires(seed: int) -> None:
+def test_crashed_owner_loses_its_shard_before_its_lease_expires(seed: int) -> None:
     play(owner_crashes, seed, cpu=0.2)
 
 
-async def owner_reaches_the_store_alone(world: World) -> None:
-    """It renews its lease, but peers and workers hear nothing of it."""
+async def owner_reaches_only_the_store(world: World) -> None:
+    """Cut the shard owner off from peers and workers; it still renews its lease in the key-value store."""
     await asyncio.sleep(15)
     owner = await separate_shard_owner(world)
     await asyncio.sleep(5)
@@ -64,12 +64,12 @@
 
 
 @pytest.mark.parametrize("seed", [93, 94])
-def test_owner_that_reaches_the_store_alone_is_handed_over_once_and_damped(seed: int) -> None:
-    play(owner_reaches_the_store_alone, seed, cpu=0.2)
+def test_owner_that_reaches_only_the_store_loses_its_shard_once_and_is_damped(seed: int) -> None:
+    play(owner_reaches_only_the_store, seed, cpu=0.2)
 
 
-async def link_between_two_is_down(world: World) -> None:
-    """The third controller reaches both, and the workers reach the shard owner."""
+async def link_between_leader_and_owner_is_down(world: World) -> None:
+    """Cut the link between leader and shard owner; the third controller reaches both, and workers reach the owner."""
     await asyncio.sleep(15)
     owner, lead = await separate_shard_owner(world), leader(world)
     world.cut(owner, lead)
@@ -85,8 +85,8 @@
     assert not handovers(world)
 
 
-def test_two_that_suspect_each_other_are_not_judged_faulty() -> None:
-    play(link_between_two_is_down, 95, cpu=0.2)
+def test_two_controllers_that_suspect_each_other_are_not_judged_faulty() -> None:
+    play(link_between_leader_and_owner_is_down, 95, cpu=0.2)
 
 
 async def flapping_links(world: World) -> None:
@@ -99,14 +99,14 @@
         await asyncio.sleep(1.5)
 
 
-async def leader_and_owner_end(world: World) -> None:
+async def leader_and_owner_restart(world: World) -> None:
     await asyncio.sleep(15)
     for label in {leader(world), shard_owner(world)}:
         world.spawn(world.restart(label, 6.0))
     await asyncio.sleep(20)
 
 
-async def back_within_a_fraction_of_a_second(world: World) -> None:
+async def owner_restarts_within_a_second(world: World) -> None:
     await asyncio.sleep(15)
     for _ in range(4):
         world.spawn(world.restart(shard_owner(world), world.random.uniform(0.1, 0.6)))
@@ -114,7 +114,7 @@
 
 
 async def crash_then_store_outage(world: World) -> None:
-    """The shard owner ends three seconds before the key-value store goes down."""
+    """Stop the shard owner for 6 s, and make the key-value store unavailable 3 s after the stop."""
     await asyncio.sleep(15)
     world.spawn(world.restart(await separate_shard_owner(world), 6.0))
     await asyncio.sleep(3.0)
@@ -128,8 +128,8 @@
     "fault",
     [
         flapping_links,
-        leader_and_owner_end,
-        back_within_a_fraction_of_a_second,
+        leader_and_owner_restart,
+        owner_restarts_within_a_second,
         crash_then_store_outage,
         leader_refused_then_store_outage,
     ],
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize("noise", [0.1, 0.5])
 def test_rules_hold_under_lost_delayed_and_repeated_messages(noise: float) -> None:
-    """`noise`: the fraction of messages that are lost, late or repeated; slow links grow slower."""
+    """`noise` is the fraction of messages that are lost, late or repeated; the link delay rises every 3 s as well."""
 
     async def fault(world: World) -> None:
         await asyncio.sleep(15)
@@ -206,7 +206,10 @@
 
 
 async def owner_isolated_with_its_workers(world: World) -> None:
-    """The former owner loses store and peers at once and goes on with its workers, of which others reach only half."""
+    """Cut the shard owner off from the key-value store and its peers, and every second machine from the other controllers.
+
+    The owner continues to serve its workers, and the other controllers reach only half of them.
+    """
     for job in world.durations:
         world.durations[job] = 60.0
     await asyncio.sleep(15)
@@ -224,20 +227,23 @@
 
 
 @pytest.mark.parametrize("seed", [103, 104])
-def test_new_owner_waits_out_what_the_former_one_may_still_answer(seed: int) -> None:
-    """The former owner is handed over while its lease is still good."""
+def test_new_owner_waits_until_the_former_owners_leases_have_expired(seed: int) -> None:
+    """Guards against tasks that run twice after a handover.
+
+    The shard is handed over while the lease of the former owner is valid, so the former owner may still answer workers.
+    """
     play(owner_isolated_with_its_workers, seed, cpu=0.2)
 
 
 def test_check_fails_if_the_new_owner_does_not_wait_for_the_former_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A new owner that takes the former one for terminated at once starts its tasks a second time."""
+    """A new owner that regards tasks as expired at the last contact starts them while the former owner's copies run."""
     monkeypatch.setattr(machines.Machine, "tasks_expire_at", lambda self, lease_s, unfenced: self.last_contact_at)
-    real = Shard.__init__
+    original_init = Shard.__init__
 
-    def eager(self, zone, token, services, may_start) -> None:  # noqa: ANN001
+    def init_with_early_taint(self, zone, token, services, may_start) -> None:  # noqa: ANN001
         limits = msgspec.structs.replace(services.limits, taint_after_s=3.0)
-        real(self, zone, token, dataclasses.replace(services, limits=limits), may_start)
+        original_init(self, zone, token, dataclasses.replace(services, limits=limits), may_start)
 
-    monkeypatch.setattr(Shard, "__init__", eager)
+    monkeypatch.setattr(Shard, "__init__", init_with_early_taint)
     with pytest.raises(AssertionError, match="ran_twice"):
         play(owner_isolated_with_its_workers, 103, cpu=0.2)
--- a/tests/membership/test_suspicion_gossip.py
+++ b/tests/membership/test_suspicion_gossip.py
@@ -1,4 +1,4 @@
-"""Suspicions and verdicts that come from outside: bounds, refutation, and values that can't be read."""
+"""Tests of gossiped suspicions and stored verdicts: bounds, refutation and unreadable values."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from tests.simulation.loop import run
 from tests.simulation.world import World
 
-PEER_ADDR = "10.0.0.1:8081"  # of c-0
+PEER_ADDR = "10.0.0.1:8081"  # the address at which c-0 receives gossip
 
 
-async def started_world(seed: int) -> World:
+async def start_world(seed: int) -> World:
     world = World(seed, operator=DETECTOR_ENABLED)
     await asyncio.sleep(5)
     return world
@@ -26,13 +26,13 @@
 
 def test_only_a_bounded_number_of_suspects_is_taken_from_one_message() -> None:
     async def main() -> None:
-        world = await started_world(110)
+        world = await start_world(110)
         detector = world.controllers["c-0"][0].failure_detector
         suspects = [SuspectedPeer(f"x-{n}", n) for n in range(10_000)] + [SuspectedPeer("c-2", 0)]
         message = GossipMessage("c-1", "a", True, {}, suspects=suspects)
         await world.send("c-1", PEER_ADDR, "POST", GOSSIP_PATH, encode(message))
         assert set(detector._votes) == {"c-1", "c-2"}
-        assert not detector._votes["c-2"], "past the bound"
+        assert not detector._votes["c-2"], "a vote beyond the bound was recorded"
 
     run(main())
 
@@ -48,7 +48,7 @@
 )
 def test_invalid_message_is_rejected(body: object) -> None:
     async def main() -> None:
-        world = await started_world(110)
+        world = await start_world(110)
         response = await world.send("c-1", PEER_ADDR, "POST", GOSSIP_PATH, encode(body))
         assert response.status == 400
 
@@ -57,7 +57,7 @@
 
 def test_suspected_controller_refutes_with_a_later_incarnation() -> None:
     async def main() -> None:
-        world = await started_world(111)
+        world = await start_world(111)
         detector = world.controllers["c-0"][0].failure_detector
         before = detector.incarnation
         message = GossipMessage("c-1", "a", True, {}, suspects=[SuspectedPeer("c-0", before)])
@@ -77,9 +77,9 @@
         pytest.param({"node": "c-1", "incarnation": -1}, id="negative incarnation"),
     ],
 )
-def test_unreadable_verdict_damps_nobody(value: object, caplog: pytest.LogCaptureFixture) -> None:
+def test_unreadable_verdict_damps_no_controller(value: object, caplog: pytest.LogCaptureFixture) -> None:
     async def main() -> None:
-        world = await started_world(112)
+        world = await start_world(112)
         world.state._commit({"when": [], "writes": [{"put": keys.verdict("c-1"), "value": value}]})
         await asyncio.sleep(3)
         assert not world.controllers["c-0"][0].failure_detector.is_damped(NodeId("c-1"))
--- a/tests/membership/test_verdicts.py
+++ b/tests/membership/test_verdicts.py
@@ -1,4 +1,4 @@
-"""When a peer is judged faulty, by generated evidence."""
+"""Tests of the rules by which a peer is judged faulty, with generated evidence."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from cloverplank.basic_types import MonotonicTime, NodeId
 from cloverplank.membership import verdicts
-from cloverplank.membership.verdicts import Evidence, Levels, PeerState, Vote
+from cloverplank.membership.verdicts import Evidence, PeerState, SuspicionThresholds, Vote
 
-LEVELS = Levels(1.5, 1.8)
+THRESHOLDS = SuspicionThresholds(1.5, 1.8)
 NOW = MonotonicTime(1000.0)
 
 VOTES = st.lists(
@@ -37,41 +37,41 @@
 
 @given(EVIDENCE)
 def test_faulty_verdict_needs_silence_no_response_and_a_second_observer(evidence: Evidence) -> None:
-    state = verdicts.state_of(evidence, LEVELS, NOW)
+    state = verdicts.state_of(evidence, THRESHOLDS, NOW)
     if state is PeerState.FAULTY:
-        assert evidence.level >= LEVELS.faulty
-        assert evidence.unanswering
+        assert evidence.level >= THRESHOLDS.faulty
+        assert evidence.unresponsive
         observers = {vote.observer for vote in evidence.votes if vote.incarnation >= evidence.incarnation}
         assert observers or evidence.other_observers == 0
-        assert observers or evidence.workers_elsewhere >= verdicts.MIN_WORKERS
-    if evidence.level < LEVELS.suspect:
+        assert observers or evidence.workers_reporting_here >= verdicts.MIN_REPORTING_WORKERS
+    if evidence.level < THRESHOLDS.suspect:
         assert state is PeerState.ALIVE
 
 
 @given(EVIDENCE)
 def test_peer_that_all_others_reach_is_never_faulty(evidence: Evidence) -> None:
     reached = msgspec.structs.replace(evidence, votes=(), other_observers=max(1, evidence.other_observers))
-    assert verdicts.state_of(reached, LEVELS, NOW) is not PeerState.FAULTY
+    assert verdicts.state_of(reached, THRESHOLDS, NOW) is not PeerState.FAULTY
 
 
 @pytest.mark.parametrize(
-    ("workers_elsewhere", "expected"),
+    ("workers_reporting_here", "expected"),
     [
-        pytest.param(0, PeerState.SUSPECTED, id="its workers stay with it"),
-        pytest.param(15, PeerState.FAULTY, id="most of its workers left it"),
+        pytest.param(0, PeerState.SUSPECTED, id="workers still report to the peer"),
+        pytest.param(15, PeerState.FAULTY, id="most workers report elsewhere"),
     ],
 )
-def test_workers_decide_between_two_controllers_alone(workers_elsewhere: int, expected: PeerState) -> None:
+def test_workers_decide_between_two_controllers_alone(workers_reporting_here: int, expected: PeerState) -> None:
     evidence = Evidence(
         level=3.0,
         incarnation=1,
-        unanswering=True,
+        unresponsive=True,
         votes=(),
         other_observers=0,
         workers=20,
-        workers_elsewhere=workers_elsewhere,
+        workers_reporting_here=workers_reporting_here,
     )
-    assert verdicts.state_of(evidence, LEVELS, NOW) is expected
+    assert verdicts.state_of(evidence, THRESHOLDS, NOW) is expected
 
 
 @pytest.mark.parametrize(
