--- a/src/cloverplank/zones/__init__.py
+++ b/src/cloverplank/zones/__init__.py
@@ -1,1 +1,1 @@
-"""Failure and recovery of whole zones: evidence, committed health, and the order of work while a zone recovers."""
+"""Failure and recovery of whole zones: evidence, committed health, and the scheduling order during a zone failure."""
--- a/src/cloverplank/zones/health.py
+++ b/src/cloverplank/zones/health.py
@@ -13,103 +13,112 @@
 from cloverplank.basic_types import WallTimeMs
 from cloverplank.records.zones import ALL_MACHINES_PER_CENT, ZoneHealth, ZoneRecord
 
-# Per cent of a zone's machines that take new tasks.
+# Percentages of a zone's machines that take new tasks, in the order in which a recovering zone reaches them.
 ADMISSION_STEPS = (10, 25, 50, ALL_MACHINES_PER_CENT)
 
-# Fractions of a zone's machines.
+# Fractions of a zone's machines that are silent or, in the case of a returned zone, send heartbeats.
 IMPAIRED_SILENT_FRACTION = 0.3
 LOST_SILENT_FRACTION = 0.8
-RETURNED_HEARD_FRACTION = 0.3
+RETURNED_ACTIVE_FRACTION = 0.3
 RELAPSE_SILENT_FRACTION = 0.3
 
-MIN_MACHINES = 3  # fewer can all be silent by chance
+MIN_MACHINES = 3  # a smaller number of machines may all be silent by chance
 LOST_CONFIRM_MS = 2_000
 IMPAIRED_CONFIRM_MS = 5_000
 FLAP_WINDOW_MS = 300_000
-MAX_QUIET_MS = 60_000
-MAX_QUIET_DOUBLINGS = 5
+MAX_STABILIZATION_MS = 60_000
+MAX_STABILIZATION_DOUBLINGS = 5
 
 
-class Evidence(Struct, frozen=True):
+class ZoneEvidence(Struct, frozen=True):
     """The observed state of a zone at one moment.
 
-    `machines` counts those that have been up, `silent` those of them that nobody hears. `controllers` counts those
-    configured in the zone, `controllers_there` those of them that hold a lease. `others_silent` says that most machines
-    of every other zone are silent, too, so that the fault is probably in this controller's own network link.
+    `machines` counts the machines that have been up, and `silent` those of them that no controller receives heartbeats
+    from. `controllers` counts the controllers configured in the zone, and `live_controllers` those of them that hold a
+    lease. `other_zones_silent` says that most machines of every other zone are silent, too, so that the fault is
+    probably in this controller's own network link.
     """
 
     machines: int
     silent: int
     controllers: int
-    controllers_there: int
-    others_silent: bool
+    live_controllers: int
+    other_zones_silent: bool
 
     @property
     def silent_fraction(self) -> float:
-        """Return the fraction of machines that are silent, 0 in a zone without machines."""
+        """Return the fraction of machines that are silent, 0 for a zone without machines."""
         return self.silent / self.machines if self.machines else 0.0
 
     def text(self) -> str:
-        """Return one line for operators."""
+        """Return the evidence as one line for operators."""
         return (
             f"{self.silent} of {self.machines} machines silent, "
-            f"{self.controllers_there} of {self.controllers} controllers there"
+            f"{self.live_controllers} of {self.controllers} controllers there"
         )
 
 
-class RecoveryPace(Struct, frozen=True):
-    """How fast a zone recovers.
+class RecoveryTiming(Struct, frozen=True):
+    """The durations that determine how fast a zone recovers.
 
-    `quiet_ms` is how long a zone has to be heard before it recovers; it doubles with each flap. `step_ms` is the time
-    between two admission steps.
+    `stabilization_ms` is the time for which machines of a zone must send heartbeats before it recovers; it doubles
+    with each flap. `step_interval_ms` is the time between two admission steps.
     """
 
-    quiet_ms: int
-    step_ms: int
+    stabilization_ms: int
+    step_interval_ms: int
 
 
-class Observation(Struct, frozen=True):
-    """Evidence, and for how long it has indicated each state; -1 where it does not."""
+class ZoneObservation(Struct, frozen=True):
+    """The evidence on a zone, and for how many ms it has indicated each state; -1 for a state not indicated."""
 
-    evidence: Evidence
+    evidence: ZoneEvidence
     lost_for_ms: int
     impaired_for_ms: int
-    quiet_for_ms: int
+    returned_for_ms: int
 
 
-def indicates_lost(evidence: Evidence) -> bool:
+def indicates_lost(evidence: ZoneEvidence) -> bool:
     """Return whether nearly all of the zone is silent while other zones are not."""
     return (
         evidence.machines >= MIN_MACHINES
         and evidence.silent_fraction >= LOST_SILENT_FRACTION
-        and not evidence.others_silent
+        and not evidence.other_zones_silent
     )
 
 
-def indicates_impaired(evidence: Evidence) -> bool:
-    """Return whether some machines are silent or no controller of the zone is there, while other zones are heard."""
+def indicates_impaired(evidence: ZoneEvidence) -> bool:
+    """Return whether many machines are silent or no controller of the zone holds a lease.
+
+    Nothing is indicated while the other zones are silent, too.
+    """
     machines_missing = evidence.machines >= MIN_MACHINES and evidence.silent_fraction >= IMPAIRED_SILENT_FRACTION
-    controllers_missing = evidence.controllers > 0 and evidence.controllers_there == 0
-    return (machines_missing or controllers_missing) and not evidence.others_silent
+    controllers_missing = evidence.controllers > 0 and evidence.live_controllers == 0
+    return (machines_missing or controllers_missing) and not evidence.other_zones_silent
 
 
-def indicates_returned(evidence: Evidence) -> bool:
+def indicates_returned(evidence: ZoneEvidence) -> bool:
     """Return whether enough machines of the zone send heartbeats."""
-    return 1 - evidence.silent_fraction >= RETURNED_HEARD_FRACTION
+    return 1 - evidence.silent_fraction >= RETURNED_ACTIVE_FRACTION
+
 
+def required_stabilization_ms(record: ZoneRecord, timing: RecoveryTiming) -> int:
+    """Return for how long machines of a lost zone must send heartbeats before it recovers.
 
-def required_quiet_ms(record: ZoneRecord, pace: RecoveryPace) -> int:
-    """Return how long a lost zone has to be heard before it recovers: doubled with each flap, up to a bound."""
-    doublings = min(MAX_QUIET_DOUBLINGS, max(0, record.flaps - 1))
-    return min(MAX_QUIET_MS, pace.quiet_ms * (1 << doublings))
+    The time doubles with each flap after the first, up to MAX_STABILIZATION_MS.
+    """
+    doublings = min(MAX_STABILIZATION_DOUBLINGS, max(0, record.flaps - 1))
+    return min(MAX_STABILIZATION_MS, timing.stabilization_ms * (1 << doublings))
 
 
-def next_record(record: ZoneRecord, observation: Observation, pace: RecoveryPace, now: WallTimeMs) -> ZoneRecord | None:
-    """Return the record to commit, or None where nothing changes."""
-    return _TRANSITIONS[record.health](record, observation, pace, now)
+def next_record(
+    record: ZoneRecord, observation: ZoneObservation, timing: RecoveryTiming, now: WallTimeMs
+) -> ZoneRecord | None:
+    """Return the record to commit, or None if the committed record stays valid."""
+    return _TRANSITIONS[record.health](record, observation, timing, now)
 
 
-def _lost(record: ZoneRecord, observation: Observation, now: WallTimeMs) -> ZoneRecord:
+def _lost(record: ZoneRecord, observation: ZoneObservation, now: WallTimeMs) -> ZoneRecord:
     is_flap = record.lost_at > 0 and now - record.lost_at <= FLAP_WINDOW_MS
     return ZoneRecord(
         record.zone,
@@ -124,19 +133,19 @@
 
 
 def _with_health(
-    record: ZoneRecord, health: ZoneHealth, admitted: int, observation: Observation, now: WallTimeMs
+    record: ZoneRecord, health: ZoneHealth, admitted: int, observation: ZoneObservation, now: WallTimeMs
 ) -> ZoneRecord:
     return msgspec.structs.replace(
         record, health=health, since=now, admitted=admitted, step_at=now, evidence=observation.evidence.text()
     )
 
 
-def _with_admitted(record: ZoneRecord, per_cent: int, observation: Observation, now: WallTimeMs) -> ZoneRecord:
+def _with_admitted(record: ZoneRecord, per_cent: int, observation: ZoneObservation, now: WallTimeMs) -> ZoneRecord:
     return msgspec.structs.replace(record, admitted=per_cent, step_at=now, evidence=observation.evidence.text())
 
 
 def _from_healthy(
-    record: ZoneRecord, observation: Observation, pace: RecoveryPace, now: WallTimeMs
+    record: ZoneRecord, observation: ZoneObservation, timing: RecoveryTiming, now: WallTimeMs
 ) -> ZoneRecord | None:
     if observation.lost_for_ms >= LOST_CONFIRM_MS:
         return _lost(record, observation, now)
@@ -146,27 +155,29 @@
 
 
 def _from_impaired(
-    record: ZoneRecord, observation: Observation, pace: RecoveryPace, now: WallTimeMs
+    record: ZoneRecord, observation: ZoneObservation, timing: RecoveryTiming, now: WallTimeMs
 ) -> ZoneRecord | None:
     if observation.lost_for_ms >= LOST_CONFIRM_MS:
         return _lost(record, observation, now)
-    if not indicates_impaired(observation.evidence) and observation.quiet_for_ms >= pace.quiet_ms:
+    if not indicates_impaired(observation.evidence) and observation.returned_for_ms >= timing.stabilization_ms:
         return _with_health(record, ZoneHealth.HEALTHY, ALL_MACHINES_PER_CENT, observation, now)
     return None
 
 
-def _from_lost(record: ZoneRecord, observation: Observation, pace: RecoveryPace, now: WallTimeMs) -> ZoneRecord | None:
-    if observation.quiet_for_ms >= required_quiet_ms(record, pace):
+def _from_lost(
+    record: ZoneRecord, observation: ZoneObservation, timing: RecoveryTiming, now: WallTimeMs
+) -> ZoneRecord | None:
+    if observation.returned_for_ms >= required_stabilization_ms(record, timing):
         return _with_health(record, ZoneHealth.RECOVERING, ADMISSION_STEPS[0], observation, now)
     return None
 
 
 def _from_recovering(
-    record: ZoneRecord, observation: Observation, pace: RecoveryPace, now: WallTimeMs
+    record: ZoneRecord, observation: ZoneObservation, timing: RecoveryTiming, now: WallTimeMs
 ) -> ZoneRecord | None:
     if observation.lost_for_ms >= LOST_CONFIRM_MS:
         return _lost(record, observation, now)
-    if now - record.step_at < pace.step_ms:
+    if now - record.step_at < timing.step_interval_ms:
         return None
     step = ADMISSION_STEPS.index(record.admitted) if record.admitted in ADMISSION_STEPS else 0
     if observation.evidence.silent_fraction >= RELAPSE_SILENT_FRACTION:
@@ -176,7 +187,9 @@
     return _with_health(record, ZoneHealth.HEALTHY, ALL_MACHINES_PER_CENT, observation, now)
 
 
-_TRANSITIONS: dict[ZoneHealth, Callable[[ZoneRecord, Observation, RecoveryPace, WallTimeMs], ZoneRecord | None]] = {
+_TRANSITIONS: dict[
+    ZoneHealth, Callable[[ZoneRecord, ZoneObservation, RecoveryTiming, WallTimeMs], ZoneRecord | None]
+] = {
     ZoneHealth.HEALTHY: _from_healthy,
     ZoneHealth.IMPAIRED: _from_impaired,
     ZoneHealth.LOST: _from_lost,
--- a/src/cloverplank/zones/observation.py
+++ b/src/cloverplank/zones/observation.py
@@ -1,4 +1,4 @@
-"""Evidence on each zone, gathered by the leader from its machine registry and from committed keys."""
+"""Evidence on each zone, gathered by the leader from its machine registry and the leases of controllers."""
 
 from __future__ import annotations
 
@@ -14,18 +14,24 @@
     MachineRegistry,
 )
 from cloverplank.basic_types import MS_PER_SECOND, Clock, MonotonicTime, NodeId, Zone
-from cloverplank.zones.health import Evidence, Observation, indicates_impaired, indicates_lost, indicates_returned
+from cloverplank.zones.health import (
+    ZoneEvidence,
+    ZoneObservation,
+    indicates_impaired,
+    indicates_lost,
+    indicates_returned,
+)
 
-# A machine is silent after this many heartbeat intervals without a heartbeat, and after this time at the least.
-SILENT_HEARTBEATS = 2.5
-MIN_SILENT_S = 4.0
+# A machine is silent after this many heartbeat intervals without a heartbeat, and after MIN_SILENCE_S at the earliest.
+MISSED_HEARTBEAT_INTERVALS = 2.5
+MIN_SILENCE_S = 4.0
 
-# Health of a silent machine, as its shard owner states it.
+# Values of a machine's health, as reported by its shard owner, that count as silence.
 SILENT_HEALTH = frozenset({HEALTH_SUSPECT, HEALTH_TAINTED, HEALTH_LOST})
 
 
 class _MachineCount(Struct):
-    """Machines of one zone that have been up, and those of them that are silent."""
+    """The number of machines of one zone that have been up, and of those that are silent."""
 
     machines: int = 0
     silent: int = 0
@@ -36,7 +42,7 @@
 
 
 class _IndicatedSince(Struct):
-    """When the evidence began to indicate each state; None where it does not."""
+    """The time since which the evidence has indicated each state, None if it does not indicate it."""
 
     lost: MonotonicTime | None = None
     impaired: MonotonicTime | None = None
@@ -44,7 +50,7 @@
 
 
 class ZoneObserver:
-    """Gathers evidence on each zone and how long it has held."""
+    """Gathers the evidence on each zone and tracks for how long it has indicated each state."""
 
     def __init__(
         self,
@@ -58,15 +64,15 @@
         self._controller_zones = controller_zones
         self._registry = registry
         self._clock = clock
-        self._silent_s = max(MIN_SILENT_S, SILENT_HEARTBEATS * heartbeat_interval_s)
+        self._max_silence_s = max(MIN_SILENCE_S, MISSED_HEARTBEAT_INTERVALS * heartbeat_interval_s)
         self._since: dict[Zone, _IndicatedSince] = {zone: _IndicatedSince() for zone in zones}
 
     def reset(self) -> None:
-        """Discard all evidence: what was observed before a time without leadership is out of date."""
+        """Restart all durations: those measured before a period without leadership are out of date."""
         self._since = {zone: _IndicatedSince() for zone in self._since}
 
-    def observe(self, live_controllers: Iterable[NodeId]) -> dict[Zone, Observation]:
-        """Return the evidence of each zone now, given the controllers that hold a lease."""
+    def observe(self, live_controllers: Iterable[NodeId]) -> dict[Zone, ZoneObservation]:
+        """Return the current observation of each zone, given the controllers that hold a lease."""
         now = self._clock.monotonic()
         counts = self._count_machines(now)
         live_zones = [self._controller_zones.get(controller) for controller in live_controllers]
@@ -76,7 +82,7 @@
         counts = {zone: _MachineCount() for zone in self._since}
         for entry in self._registry.entries.values():
             if entry.heard_at is None or entry.zone not in counts:
-                continue  # not known to have ever been up
+                continue  # a machine that may never have been up is no evidence
             count = counts[entry.zone]
             count.machines += 1
             count.silent += self._is_silent(entry, now)
@@ -84,32 +90,32 @@
 
     def _is_silent(self, entry: MachineEntry, now: MonotonicTime) -> bool:
         heard_at = entry.heard_at
-        return entry.health in SILENT_HEALTH or heard_at is None or now - heard_at > self._silent_s
+        return entry.health in SILENT_HEALTH or heard_at is None or now - heard_at > self._max_silence_s
 
     def _observe_zone(
         self, zone: Zone, counts: dict[Zone, _MachineCount], live_zones: Sequence[Zone | None], now: MonotonicTime
-    ) -> Observation:
+    ) -> ZoneObservation:
         others = [count for other, count in counts.items() if other != zone and count.machines]
-        evidence = Evidence(
+        evidence = ZoneEvidence(
             machines=counts[zone].machines,
             silent=counts[zone].silent,
-            controllers=sum(home == zone for home in self._controller_zones.values()),
-            controllers_there=live_zones.count(zone),
-            others_silent=bool(others) and all(count.is_mostly_silent() for count in others),
+            controllers=sum(controller_zone == zone for controller_zone in self._controller_zones.values()),
+            live_controllers=live_zones.count(zone),
+            other_zones_silent=bool(others) and all(count.is_mostly_silent() for count in others),
         )
         since = self._since[zone]
-        since.lost = _since(since.lost, now) if indicates_lost(evidence) else None
-        since.impaired = _since(since.impaired, now) if indicates_impaired(evidence) else None
-        since.returned = _since(since.returned, now) if indicates_returned(evidence) else None
-        return Observation(
+        since.lost = _first_indicated(since.lost, now) if indicates_lost(evidence) else None
+        since.impaired = _first_indicated(since.impaired, now) if indicates_impaired(evidence) else None
+        since.returned = _first_indicated(since.returned, now) if indicates_returned(evidence) else None
+        return ZoneObservation(
             evidence,
             lost_for_ms=_elapsed_ms(since.lost, now),
             impaired_for_ms=_elapsed_ms(since.impaired, now),
-            quiet_for_ms=_elapsed_ms(since.returned, now),
+            returned_for_ms=_elapsed_ms(since.returned, now),
         )
 
 
-def _since(began_at: MonotonicTime | None, now: MonotonicTime) -> MonotonicTime:
+def _first_indicated(began_at: MonotonicTime | None, now: MonotonicTime) -> MonotonicTime:
     return now if began_at is None else began_at
 
 
--- a/src/cloverplank/zones/plan.py
+++ b/src/cloverplank/zones/plan.py
@@ -1,4 +1,7 @@
-"""The order of work while a zone is lost or recovers, and which of its machines take new tasks. Pure decisions."""
+"""The scheduling order while a zone is lost or recovers, and the admission of its machines.
+
+All decisions are pure functions of the committed records and the queue.
+"""
 
 from __future__ import annotations
 
@@ -14,35 +17,36 @@
 from cloverplank.scheduling.queue import FAR_OVERDUE, QueuedJob
 from cloverplank.wire.users import JobSpec
 
-NO_TARGET_S = 1e9  # remaining time of a job without a target: after every other one
-MAX_WITHHELD_S = 60.0  # no machine waits beside queued work for ever
-MISSED_TARGET_S = -60.0  # a job that is later than this is not expedited any more
+NO_TARGET_S = 1e9  # remaining time of a job without a target, which sorts it after all jobs that have one
+# A machine that has been up for this long is admitted at any step, so that none stays idle while jobs are queued.
+MAX_ADMISSION_WAIT_S = 60.0
+MISSED_TARGET_S = -60.0  # a job whose target passed longer ago than this is no longer expedited
 DISTURBED_HEALTH = (ZoneHealth.LOST, ZoneHealth.RECOVERING)
 
 RemainingTime = Callable[[JobRecord, WallTimeMs], float | None]
 
 
 class Importance(IntEnum):
-    """The order in which jobs are placed again; the lowest goes first."""
+    """The importance of a job for its placement during a zone failure; lower values are placed first."""
 
     SERVICE = 0
-    DEADLINE = 1  # has a target that can still be met
+    DEADLINE = 1  # has a target that can still be met, or that was missed only recently
     GUARANTEED = 2
     BULK = 3
 
 
 class ClassOrder(Struct, frozen=True):
-    """The operators' override: job classes served like services, and like bulk work."""
+    """Job classes whose importance operators override: `first` is treated like services, `last` like bulk work."""
 
     first: frozenset[str] = frozenset()
     last: frozenset[str] = frozenset()
 
 
 class PlanLimits(Struct, frozen=True):
-    """Bounds on what a plan does.
+    """Limits on held work and on the recovery of a zone.
 
-    `max_hold_ms` is how long bulk work may be held; the others bound task starts in a recovering zone and its machines
-    that pull images at the same time.
+    `max_hold_ms` is the longest time for which a bulk job is held. `starts_a_second` limits the rate of task starts in
+    a recovering zone, and `pulls_at_once` the number of its machines that pull images concurrently.
     """
 
     max_hold_ms: int
@@ -51,9 +55,9 @@
 
 
 class ZonePlan:
-    """What the committed health of all zones means for the order of work at one moment.
+    """The scheduling order and the admission of machines that follow from the committed health of all zones.
 
-    `remaining_time` returns the seconds that a job can still wait for its next target, None where it has none.
+    `remaining_time` returns the seconds that are left until a job's next target, None for a job without a target.
     """
 
     def __init__(
@@ -72,46 +76,47 @@
         self._disturbed = [record for record in records.values() if record.health in DISTURBED_HEALTH]
 
     def is_idle(self) -> bool:
-        """Return whether no zone is lost or recovers, so that work goes in its usual order."""
+        """Return whether no zone is lost or recovers, so that the usual scheduling order applies."""
         return not self._disturbed
 
     def health(self, zone: Zone) -> ZoneHealth:
-        """Return the committed health of a zone."""
+        """Return the committed health of a zone, HEALTHY for one without a record."""
         record = self._records.get(zone)
         return ZoneHealth.HEALTHY if record is None else record.health
 
     def withholds(self, zone: Zone) -> bool:
-        """Return whether only some of the zone's machines take new tasks."""
+        """Return whether machines of the zone need to be admitted before they take new tasks."""
         return self.health(zone) in DISTURBED_HEALTH
 
     def admits(self, zone: Zone, machine: MachineId, up_for_s: float) -> bool:
         """Return whether the machine may take new tasks.
 
-        The decision depends on the machine's name alone, so that every controller comes to the same one. A machine
-        that has been up for MAX_WITHHELD_S is admitted in any case.
+        The decision depends on the hash of the machine's name and the committed record only, so that all controllers
+        agree on it. A machine that has been up for MAX_ADMISSION_WAIT_S is always admitted.
         """
-        if not self.withholds(zone) or up_for_s >= MAX_WITHHELD_S:
+        if not self.withholds(zone) or up_for_s >= MAX_ADMISSION_WAIT_S:
             return True
         return zlib.crc32(machine.encode()) % ALL_MACHINES_PER_CENT < self._records[zone].admitted
 
     def may_use_reserved(self, spec: JobSpec) -> bool:
         """Return whether the job may use reconciled machines that are not admitted yet.
 
-        Services, jobs with a deadline and classes that operators put first may; others wait for the admission steps.
+        Services, jobs with a deadline and classes that operators put first may use them; all other jobs wait for the
+        admission steps.
         """
         if spec.job_class in self._classes.last:
             return False
         return spec.service or spec.deadline_s is not None or spec.job_class in self._classes.first
 
     def can_scale_out(self, zone: Zone) -> bool:
-        """Return whether machines may be provisioned in the zone: not in a lost one, unless every zone is lost."""
+        """Return whether machines may be provisioned in the zone: it is not lost, or every zone is lost."""
         lost = {Zone(record.zone) for record in self._disturbed if record.health is ZoneHealth.LOST}
         return zone not in lost or lost >= self._records.keys()
 
     def arrange(self, queued_jobs: Sequence[QueuedJob]) -> list[QueuedJob]:
-        """Return the queue in the order of an evacuation.
+        """Return the queue in the scheduling order of a zone failure: far overdue jobs first, then by importance.
 
-        Marks bulk jobs as held while more important jobs lack capacity.
+        Marks bulk jobs as held while services or jobs with a deadline have tasks to place.
         """
         if self.is_idle():
             return list(queued_jobs)
@@ -127,13 +132,16 @@
         return ordered
 
     def _may_hold(self, queued_job: QueuedJob) -> bool:
-        """Return whether the job has waited for less than the bound since it was runnable or last evicted."""
+        """Return whether the job is not overdue and has waited for less than the hold limit.
+
+        The waiting time counts from when the job became runnable or was last evicted.
+        """
         evictions = (eviction.evicted_at for eviction in queued_job.record.evictions)
         waiting_since = max([queued_job.record.runnable_at, *evictions])
         return not queued_job.overdue and self._now - waiting_since < self.limits.max_hold_ms
 
     def importance(self, queued_job: QueuedJob) -> Importance:
-        """Return how soon a job is served while a zone is lost or recovers."""
+        """Return the importance of a job while a zone is lost or recovers."""
         spec = queued_job.record.spec
         if spec.job_class in self._classes.last:
             return Importance.BULK
@@ -159,7 +167,10 @@
 
 
 class StartRateLimiter:
-    """A token bucket of task starts in a recovering zone; it holds one second's worth. Times are in seconds."""
+    """A token bucket that limits task starts in a recovering zone.
+
+    Its capacity is the number of starts allowed in one second, at least one. Times are in seconds.
+    """
 
     def __init__(self, now: float) -> None:
         self._tokens = 0.0
@@ -172,5 +183,5 @@
         return int(self._tokens)
 
     def take(self, starts: int) -> None:
-        """Take tokens for starts that were made; a gang may take more than there are, and others wait for it."""
+        """Take tokens for tasks that were started; a gang may overdraw the bucket, which delays later starts."""
         self._tokens -= starts
--- a/src/cloverplank/zones/status.py
+++ b/src/cloverplank/zones/status.py
@@ -1,4 +1,4 @@
-"""The state of all zones as operators see it, made from committed keys alone."""
+"""The status of all zones for operators, derived from committed keys alone."""
 
 from __future__ import annotations
 
@@ -17,7 +17,11 @@
 
 
 class ZoneStatus(Struct, frozen=True):
-    """One zone of the deployment."""
+    """The status of one zone of the deployment.
+
+    `since_ms` is the time of day of the transition to `health`. `admitted` is the percentage of machines that take new
+    tasks. `flaps` counts consecutive losses. `controllers_there` are the zone's controllers that hold a lease.
+    """
 
     zone: str
     health: ZoneHealth
@@ -31,7 +35,7 @@
 
 
 class ZonesStatus(Status, frozen=True):
-    """All zones of the deployment."""
+    """The status of all zones of the deployment."""
 
     zones: list[ZoneStatus]
 
@@ -56,7 +60,11 @@
 
 
 class _CommittedZones:
-    """The records that the status is made from, by key, zone and zone; unreadable keys are noted."""
+    """The committed records from which the status is derived.
+
+    Zone records are kept by key, shard owners and live controllers by zone. Keys whose values can't be decoded are in
+    `unreadable`.
+    """
 
     def __init__(self, key_values: Iterable[KeyValue]) -> None:
         self.records: dict[str, ZoneRecord] = {}
@@ -98,11 +106,11 @@
 
 
 def status_of(key_values: list[KeyValue], zones: list[str]) -> ZonesStatus:
-    """Return the status of the deployment's zones that the committed keys show."""
+    """Derive the status of the given zones from the committed keys."""
     committed = _CommittedZones(key_values)
     return ZonesStatus([committed.status(zone) for zone in zones])
 
 
 def read_status(platform: PlatformSettings) -> ZonesStatus:
-    """Read the status from the key-value store. Raises StoreError where it doesn't respond."""
+    """Read the status from the key-value store; raise StoreError if the store doesn't respond."""
     return status_of(read_key_values(platform, (keys.ZONES, keys.SHARDS, keys.NODES)), platform.facts.zones)
--- a/src/cloverplank/zones/watch.py
+++ b/src/cloverplank/zones/watch.py
@@ -1,4 +1,4 @@
-"""The health of all zones: the leader commits it, and every controller plans by the committed records."""
+"""The health of all zones: the leader commits it, and every controller derives its plan from the committed records."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.settings.zones import ZoneSettings
 from cloverplank.wire.kvstore import Compare, Put, Transaction
-from cloverplank.zones.health import Observation, RecoveryPace, next_record
+from cloverplank.zones.health import RecoveryTiming, ZoneObservation, next_record
 from cloverplank.zones.observation import ZoneObserver
 from cloverplank.zones.plan import ClassOrder, PlanLimits, RemainingTime, ZonePlan
 
@@ -26,9 +26,9 @@
 
 
 class ZoneWatch:
-    """Commits verdicts on zones and makes plans from them.
+    """Commits the health of zones while this controller leads, and derives plans from the committed records.
 
-    Switched off, or with a single zone, it commits nothing and its plan is always idle.
+    While disabled, and in a deployment with a single zone, it commits nothing and its plan is always idle.
     """
 
     def __init__(
@@ -51,8 +51,9 @@
         self._queue = queue
         self._committed = committed
         self._observer = observer
-        self._pace = RecoveryPace(
-            quiet_ms=int(settings.quiet_s * MS_PER_SECOND), step_ms=int(settings.step_s * MS_PER_SECOND)
+        self._timing = RecoveryTiming(
+            stabilization_ms=int(settings.quiet_s * MS_PER_SECOND),
+            step_interval_ms=int(settings.step_s * MS_PER_SECOND),
         )
         self._limits = PlanLimits(
             max_hold_ms=int(settings.longest_hold_s * MS_PER_SECOND),
@@ -63,7 +64,7 @@
         self._next_poll_at = NEVER
 
     def records(self) -> dict[Zone, ZoneRecord]:
-        """Return the committed record of each zone; one that can't be read counts as healthy."""
+        """Return the committed record of each zone; a zone without a readable record counts as healthy."""
         records = {}
         for zone in self._zones:
             stored = self._watch_cache.get(keys.zone(zone), ZoneRecord)
@@ -71,12 +72,15 @@
         return records
 
     def plan(self, remaining_time: RemainingTime) -> ZonePlan:
-        """Return what the committed health means for the order of work now."""
+        """Return the plan that follows from the committed health now."""
         records = self.records() if self._enabled else {}
         return ZonePlan(records, self._limits, self._classes, self._clock.wall_ms(), remaining_time)
 
     async def reconcile(self) -> None:
-        """Commit what has changed, if this controller leads. Called often; acts once in POLL_INTERVAL_S."""
+        """Commit changes of the zones' health if this controller leads.
+
+        It may be called at any rate; it evaluates the zones once per POLL_INTERVAL_S.
+        """
         if not self._enabled:
             return
         leadership = self._controller_lease.leadership_revision()
@@ -91,8 +95,8 @@
         for zone, observation in self._observer.observe(self._controller_lease.members()).items():
             await self._update(leadership, records[zone], observation)
 
-    async def _update(self, leadership: ModRevision, before: ZoneRecord, observation: Observation) -> None:
-        after = next_record(before, observation, self._pace, self._clock.wall_ms())
+    async def _update(self, leadership: ModRevision, before: ZoneRecord, observation: ZoneObservation) -> None:
+        after = next_record(before, observation, self._timing, self._clock.wall_ms())
         if after is None:
             return
         key = keys.zone(before.zone)
@@ -101,13 +105,13 @@
         try:
             response = await self._queue.commit(transaction, TransactionPriority.LEASE, once=True)
         except StoreError as err:
-            log.debug("zone %s: %s", before.zone, err)
+            log.debug("zone %s: record with health %s not committed: %s", before.zone, after.health.value, err)
             return
         if not response.conflicts:
             _log_transition(before, after, observation)
 
 
-def _log_transition(before: ZoneRecord, after: ZoneRecord, observation: Observation) -> None:
+def _log_transition(before: ZoneRecord, after: ZoneRecord, observation: ZoneObservation) -> None:
     if after.health is not before.health:
         evidence = observation.evidence.text()
         log.info("zone %s: %s -> %s: %s", after.zone, before.health.value, after.health.value, evidence)
--- a/tests/membership/test_handover.py
+++ b/tests/membership/test_handover.py
@@ -22,7 +22,7 @@
 from tests.simulation.day import Scenario
 from tests.simulation.overlapping_faults import leader_refused_then_store_outage
 from tests.simulation.world import World
-from tests.zones.scenarios import lost_and_back
+from tests.zones.scenarios import cut_and_restore_zone
 
 
 async def owner_crashes(world: World) -> None:
@@ -185,7 +185,7 @@
     async def fault(world: World) -> None:
         await asyncio.sleep(12)
         world.spawn(world.restart(shard_owner(world), 5.0))
-        await lost_and_back(world, 20.0)
+        await cut_and_restore_zone(world, 20.0)
 
     operator = OperatorSettings(
         rollout=RolloutSettings(True, soak_s=10.0),
--- a/tests/zones/scenarios.py
+++ b/tests/zones/scenarios.py
@@ -1,4 +1,4 @@
-"""Simulated days in which a zone is lost, with work whose order then matters."""
+"""Simulated days in which a zone is lost while jobs of every importance are queued."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     True, longest_hold_s=20.0, quiet_s=2.0, step_s=2.0, starts_a_second=30.0, last=frozenset({BULK_CLASS})
 )
 ENABLED = OperatorSettings(zones=SETTINGS)
-SCARCE_CAPACITY = 3  # machines of a type in each zone: enough for about half of the work when one is lost
+SCARCE_CAPACITY = 3  # machines of a type in each zone: enough for about half of the work while one zone is lost
 
 
 def submit_mixed_work(world: World) -> None:
-    """Submit services, job arrays with a deadline and bulk job arrays, enough for most of both zones."""
+    """Submit services, job arrays with a deadline and bulk job arrays that fill most of both zones."""
     for number in range(60, 72):
         more = (
             {"shape": "service", "rank": "prod", "lane": "web", "loaners": False},
@@ -34,24 +34,24 @@
 def play(
     scenario: Scenario, seed: int, zones: int = 2, operator: OperatorSettings = ENABLED, capacity: int = 12
 ) -> tuple[World, CommitHistory]:
-    """Play a simulated day in which the scenario starts after 22 s; checks the invariants and that no job starves."""
-    watched: list[CommitHistory] = []
+    """Simulate a day in which the scenario starts after 22 s; check the invariants and that no job starves."""
+    histories: list[CommitHistory] = []
 
-    async def later(world: World) -> None:
+    async def delayed_scenario(world: World) -> None:
         await asyncio.sleep(22)
         await scenario(world)
 
-    def begin(world: World) -> None:
-        watched.append(CommitHistory(world, BULK_CLASS))
+    def prepare(world: World) -> None:
+        histories.append(CommitHistory(world, BULK_CLASS))
         submit_mixed_work(world)
 
     def world_of() -> World:
         return World(seed, zones=zones, capacity=capacity, scale=4.0, operator=operator)
 
-    return play_day(world_of, later, begin, seconds=170.0, jobs=8), watched[0]
+    return play_day(world_of, delayed_scenario, prepare, seconds=170.0, jobs=8), histories[0]
 
 
-async def lost_and_back(world: World, seconds: float = 40.0, zone: str = "zone-1") -> None:
+async def cut_and_restore_zone(world: World, seconds: float = 40.0, zone: str = "zone-1") -> None:
     world.cut_zone(zone)
     await asyncio.sleep(seconds)
     world.heal()
--- a/tests/zones/test_health.py
+++ b/tests/zones/test_health.py
@@ -1,4 +1,4 @@
-"""The state machine of a zone's health, by generated observations, and the evidence that it rests on."""
+"""Tests of the state machine of a zone's health, with generated observations, and of the evidence for it."""
 
 from __future__ import annotations
 
@@ -10,16 +10,22 @@
 from cloverplank.basic_types import Clock, MachineId, WallTimeMs, Zone
 from cloverplank.records.zones import ALL_MACHINES_PER_CENT, ZoneHealth, ZoneRecord, healthy
 from cloverplank.zones import health
-from cloverplank.zones.health import ADMISSION_STEPS, MAX_QUIET_MS, Evidence, Observation, RecoveryPace
+from cloverplank.zones.health import (
+    ADMISSION_STEPS,
+    MAX_STABILIZATION_MS,
+    RecoveryTiming,
+    ZoneEvidence,
+    ZoneObservation,
+)
 from cloverplank.zones.observation import ZoneObserver
 
-PACE = RecoveryPace(quiet_ms=2_000, step_ms=2_000)
+TIMING = RecoveryTiming(stabilization_ms=2_000, step_interval_ms=2_000)
 
 OBSERVATIONS = st.builds(
-    Observation,
+    ZoneObservation,
     st.builds(
-        Evidence, st.integers(0, 40), st.integers(0, 40), st.integers(0, 3), st.integers(0, 3), st.booleans()
-    ).map(lambda e: msgspec.structs.replace(e, silent=min(e.silent, e.machines))),
+        ZoneEvidence, st.integers(0, 40), st.integers(0, 40), st.integers(0, 3), st.integers(0, 3), st.booleans()
+    ).map(lambda evidence: msgspec.structs.replace(evidence, silent=min(evidence.silent, evidence.machines))),
     st.sampled_from([-1, 0, 2_000, 9_000]),
     st.sampled_from([-1, 0, 5_000]),
     st.sampled_from([-1, 0, 2_000, 9_000, 70_000]),
@@ -27,11 +33,11 @@
 
 
 @given(st.lists(st.tuples(OBSERVATIONS, st.integers(100, 30_000)), max_size=60))
-def test_lost_zone_is_healthy_only_after_recovering_in_steps(observations: list[tuple[Observation, int]]) -> None:
+def test_lost_zone_is_healthy_only_after_recovering_in_steps(observations: list[tuple[ZoneObservation, int]]) -> None:
     record, now = healthy("zone-1"), 1_000_000
     for observation, elapsed_ms in observations:
         now += elapsed_ms
-        after = health.next_record(record, observation, PACE, WallTimeMs(now))
+        after = health.next_record(record, observation, TIMING, WallTimeMs(now))
         if after is None:
             continue
         transition = (record.health, after.health)
@@ -42,35 +48,35 @@
             steps = [ADMISSION_STEPS.index(each.admitted) for each in (record, after)]
             assert abs(steps[1] - steps[0]) == 1
         if after.health is ZoneHealth.LOST:
-            assert after.admitted == 0 and not observation.evidence.others_silent or observation.lost_for_ms >= 0
-        assert health.required_quiet_ms(after, PACE) <= MAX_QUIET_MS
+            assert after.admitted == 0 and not observation.evidence.other_zones_silent or observation.lost_for_ms >= 0
+        assert health.required_stabilization_ms(after, TIMING) <= MAX_STABILIZATION_MS
         record = after
 
 
 @given(st.integers(1, 10))
-def test_each_flap_doubles_the_quiet_time_up_to_a_bound(flaps: int) -> None:
+def test_each_flap_doubles_the_stabilization_time_up_to_a_bound(flaps: int) -> None:
     record = ZoneRecord("zone-1", ZoneHealth.LOST, 0, flaps=flaps)
     fewer_flaps = msgspec.structs.replace(record, flaps=flaps - 1)
-    before = health.required_quiet_ms(fewer_flaps, PACE) if flaps > 1 else PACE.quiet_ms
-    assert health.required_quiet_ms(record, PACE) in (before, min(MAX_QUIET_MS, 2 * before))
-    assert health.required_quiet_ms(msgspec.structs.replace(record, flaps=1000), PACE) <= MAX_QUIET_MS
+    before = health.required_stabilization_ms(fewer_flaps, TIMING) if flaps > 1 else TIMING.stabilization_ms
+    assert health.required_stabilization_ms(record, TIMING) in (before, min(MAX_STABILIZATION_MS, 2 * before))
+    assert health.required_stabilization_ms(msgspec.structs.replace(record, flaps=1000), TIMING) <= MAX_STABILIZATION_MS
 
 
 def test_zone_is_not_judged_while_other_zones_are_silent() -> None:
-    evidence = Evidence(20, 20, 1, 0, others_silent=True)
+    evidence = ZoneEvidence(20, 20, 1, 0, other_zones_silent=True)
     assert not health.indicates_lost(evidence)
     assert not health.indicates_impaired(evidence)
-    assert health.indicates_lost(msgspec.structs.replace(evidence, others_silent=False))
+    assert health.indicates_lost(msgspec.structs.replace(evidence, other_zones_silent=False))
 
 
 def test_zone_without_controllers_is_impaired_while_its_machines_are_heard() -> None:
-    evidence = Evidence(20, 1, 1, 0, others_silent=False)
+    evidence = ZoneEvidence(20, 1, 1, 0, other_zones_silent=False)
     assert health.indicates_impaired(evidence)
     assert not health.indicates_lost(evidence)
 
 
 def test_loss_of_thousands_of_machines_takes_one_commit_for_each_change_of_health() -> None:
-    """The evidence begins anew after a failover of the leader."""
+    """`reset` stands for a failover of the leader: the new leader measures all durations from the start."""
     now = [1_000.0]
     clock = Clock(lambda: now[0], lambda: 1.7e9 + now[0])
     registry = MachineRegistry(clock)
@@ -82,23 +88,23 @@
     records = {zone: healthy(zone) for zone in zones}
     committed: list[ZoneRecord] = []
 
-    def pass_seconds(seconds: int, silent: Zone | None) -> None:
+    def observe_for(seconds: int, silent: Zone | None) -> None:
         for _ in range(seconds):
             now[0] += 1.0
             for entry in registry.entries.values():
                 if entry.zone != silent:
                     entry.heard_at = clock.monotonic()
             for zone, observation in observer.observe([]).items():
-                after = health.next_record(records[zone], observation, PACE, clock.wall_ms())
+                after = health.next_record(records[zone], observation, TIMING, clock.wall_ms())
                 if after is not None:
                     records[zone] = after
                     committed.append(after)
 
-    pass_seconds(10, None)
-    pass_seconds(8, zones[2])
+    observe_for(10, None)
+    observe_for(8, zones[2])
     assert [record.health for record in committed] == ["lost"]
     observer.reset()
-    pass_seconds(20, None)
+    observe_for(20, None)
     assert [record.admitted for record in committed] == [0, *ADMISSION_STEPS, ALL_MACHINES_PER_CENT]
     assert {record.zone for record in committed} == {"zone-2"}
     assert committed[-1].health == "healthy"
--- a/tests/zones/test_lost_zones.py
+++ b/tests/zones/test_lost_zones.py
@@ -1,4 +1,4 @@
-"""Zones cut off in the simulated world, with the invariants checked throughout."""
+"""Tests with zones that are cut off in the simulated world; the invariants are checked throughout."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 from cloverplank.zones.plan import ZonePlan
 from tests.simulation.actions import leader
 from tests.simulation.world import World
-from tests.zones.scenarios import SCARCE_CAPACITY, SETTINGS, lost_and_back, play
+from tests.zones.scenarios import SCARCE_CAPACITY, SETTINGS, cut_and_restore_zone, play
 
 
 @pytest.mark.parametrize("seed", [81, 82])
 def test_lost_zone_recovers_and_essential_work_goes_first(seed: int) -> None:
-    _, watched = play(lost_and_back, seed, capacity=SCARCE_CAPACITY)
-    assert watched.healths("zone-1")[-3:] == ["lost", "recovering", "healthy"]
-    assert "lost" not in watched.healths("zone-0")
-    assert not watched.bulk_before_essential()
+    _, history = play(cut_and_restore_zone, seed, capacity=SCARCE_CAPACITY)
+    assert history.healths("zone-1")[-3:] == ["lost", "recovering", "healthy"]
+    assert "lost" not in history.healths("zone-0")
+    assert not history.bulk_before_essential()
 
 
 def test_check_detects_bulk_work_placed_first(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         ZonePlan, "arrange", lambda self, queued_jobs: sorted(queued_jobs, key=lambda queued_job: -queued_job.rank)
     )
-    found = [play(lost_and_back, seed, capacity=SCARCE_CAPACITY)[1].bulk_before_essential() for seed in (81, 82)]
+    found = [play(cut_and_restore_zone, seed, capacity=SCARCE_CAPACITY)[1].bulk_before_essential() for seed in (81, 82)]
     assert any(found)
 
 
 def test_flaps_of_a_zone_are_counted() -> None:
     async def scenario(world: World) -> None:
         for _ in range(2):
-            await lost_and_back(world, 14.0)
+            await cut_and_restore_zone(world, 14.0)
 
-    _, watched = play(scenario, 83)
-    lost = [value for _, key, value in watched.commits if key == keys.zone("zone-1") and value["health"] == "lost"]
+    _, history = play(scenario, 83)
+    lost = [value for _, key, value in history.commits if key == keys.zone("zone-1") and value["health"] == "lost"]
     assert [value["flaps"] for value in lost][:2] == [1, 2]
-    assert watched.healths("zone-1")[-1] == "healthy"
+    assert history.healths("zone-1")[-1] == "healthy"
 
 
 async def leader_in_the_lost_zone(world: World) -> None:
-    await lost_and_back(world, zone=world.home[leader(world)])
+    await cut_and_restore_zone(world, zone=world.home[leader(world)])
 
 
 async def store_outage_meanwhile(world: World) -> None:
@@ -74,7 +74,7 @@
 async def no_capacity_and_no_scale_out(world: World) -> None:
     world.capacity = 0
     world.cloud.left = dict.fromkeys(world.cloud.left, 0)
-    await lost_and_back(world)
+    await cut_and_restore_zone(world)
 
 
 async def jobs_submitted_and_cancelled_meanwhile(world: World) -> None:
@@ -89,7 +89,7 @@
 
 
 async def one_way_partitions(world: World) -> None:
-    """The zone's machines are heard and hear nothing, then the other way round."""
+    """Cut the inbound links of the zone's machines for 20 s, then their outbound links for 20 s."""
     names = {m.id for m in world.machines.values() if m.zone == "zone-1" and m.alive}
     world.faults.receives_nothing |= names
     await asyncio.sleep(20)
@@ -102,7 +102,7 @@
 
 async def cloud_unavailable_meanwhile(world: World) -> None:
     world.cloud.down = True
-    await lost_and_back(world)
+    await cut_and_restore_zone(world)
     world.cloud.down = False
 
 
@@ -124,7 +124,7 @@
 
 
 def test_invariants_hold_when_two_of_three_zones_are_lost() -> None:
-    """Most machines are silent, so there is no verdict; work goes on by the machines' own leases."""
+    """Most machines are silent, so no zone is judged lost; tasks continue under the leases of their machines."""
 
     async def scenario(world: World) -> None:
         world.cut_zone("zone-1")
@@ -138,16 +138,16 @@
 
 def test_zone_health_is_stored_only_once_the_cluster_version_allows_it() -> None:
     async def scenario(world: World) -> None:
-        await lost_and_back(world, 15.0)
+        await cut_and_restore_zone(world, 15.0)
         while world.state.items[keys.ROLLOUT][0]["version"] == 0:
             await asyncio.sleep(1)
-        await lost_and_back(world, 25.0)
+        await cut_and_restore_zone(world, 25.0)
 
-    _, watched = play(
+    _, history = play(
         scenario, 86, operator=OperatorSettings(rollout=RolloutSettings(True, soak_s=25.0), zones=SETTINGS)
     )
-    first = next(at for at, key, _ in watched.commits if key.startswith(keys.ZONES))
-    active = next(at for at, key, value in watched.commits if key == keys.ROLLOUT and value["version"] == 1)
+    first = next(at for at, key, _ in history.commits if key.startswith(keys.ZONES))
+    active = next(at for at, key, value in history.commits if key == keys.ROLLOUT and value["version"] == 1)
     assert first > active
 
 
@@ -156,10 +156,10 @@
 )
 def test_zone_health_is_not_stored(zones: int, settings: ZoneSettings) -> None:
     async def scenario(world: World) -> None:
-        await lost_and_back(world, 20.0, world.zones[-1])
+        await cut_and_restore_zone(world, 20.0, world.zones[-1])
 
-    _, watched = play(scenario, 87, zones, operator=OperatorSettings(zones=settings))
-    assert not [key for _, key, _ in watched.commits if key.startswith(keys.ZONES)]
+    _, history = play(scenario, 87, zones, operator=OperatorSettings(zones=settings))
+    assert not [key for _, key, _ in history.commits if key.startswith(keys.ZONES)]
 
 
 @pytest.mark.parametrize(
@@ -174,9 +174,9 @@
         world.state._commit({"when": [], "writes": [{"put": keys.zone("zone-1"), "value": value}]})
         await asyncio.sleep(3)
         assert world.state.items[keys.zone("zone-1")][0] == value
-        await lost_and_back(world, 20.0)
+        await cut_and_restore_zone(world, 20.0)
 
     with caplog.at_level(logging.ERROR, "cloverplank.kvstore"):
-        _, watched = play(scenario, 88)
+        _, history = play(scenario, 88)
     assert "cp/zone/zone-1 can't be read" in caplog.text
-    assert watched.healths("zone-1")[-1] == "healthy"
+    assert history.healths("zone-1")[-1] == "healthy"
--- a/tests/zones/test_plan.py
+++ b/tests/zones/test_plan.py
@@ -1,4 +1,4 @@
-"""The order of work while a zone is lost or recovers, by generated queues."""
+"""Tests of the scheduling order while a zone is lost or recovers, with generated queues."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from cloverplank.scheduling.queue import QueuedJob, scheduling_order
 from cloverplank.settings.zones import MAX_HOLD_S
 from cloverplank.zones.health import ADMISSION_STEPS
-from cloverplank.zones.plan import MAX_WITHHELD_S, ClassOrder, Importance, PlanLimits, StartRateLimiter, ZonePlan
+from cloverplank.zones.plan import MAX_ADMISSION_WAIT_S, ClassOrder, Importance, PlanLimits, StartRateLimiter, ZonePlan
 from tests.jobs.test_records import spec
 
 ZONE = Zone("zone-1")
@@ -30,7 +30,7 @@
     st.sampled_from([None, 1.0, 40.0]),
     st.integers(1, 5),
 )
-USUAL_ORDER = ClassOrder()
+NO_CLASS_OVERRIDES = ClassOrder()
 
 
 def remaining_time(record: JobRecord, now: WallTimeMs) -> float | None:
@@ -38,7 +38,7 @@
     return None if due is None else due - (now - record.runnable_at) / 1000
 
 
-def plan_of(state: ZoneHealth, admitted: int = 0, classes: ClassOrder = USUAL_ORDER) -> ZonePlan:
+def plan_of(state: ZoneHealth, admitted: int = 0, classes: ClassOrder = NO_CLASS_OVERRIDES) -> ZonePlan:
     records = {
         ZONE: ZoneRecord("zone-1", state, NOW - 5000, admitted, lost_at=NOW - 5000),
         Zone("zone-0"): healthy("zone-0"),
@@ -56,7 +56,7 @@
 
 
 @given(st.lists(JOBS, max_size=20))
-def test_evacuation_serves_every_job_in_the_documented_order(records: list[JobRecord]) -> None:
+def test_every_job_is_ordered_by_importance_while_a_zone_is_lost(records: list[JobRecord]) -> None:
     queued_jobs = queue_of(records)
     plan = plan_of(ZoneHealth.LOST)
     arranged = plan.arrange(queued_jobs)
@@ -94,7 +94,7 @@
     admitted = [plan_of(ZoneHealth.RECOVERING, per_cent).admits(ZONE, name, 0.0) for per_cent in ADMISSION_STEPS]
     assert admitted == sorted(admitted)
     assert admitted[-1]
-    assert plan_of(ZoneHealth.LOST).admits(ZONE, name, MAX_WITHHELD_S)
+    assert plan_of(ZoneHealth.LOST).admits(ZONE, name, MAX_ADMISSION_WAIT_S)
     assert not plan_of(ZoneHealth.LOST).admits(ZONE, name, 0.0)
     assert plan_of(ZoneHealth.LOST).admits(Zone("zone-0"), name, 0.0)
 
@@ -119,10 +119,10 @@
 
 @given(st.lists(st.tuples(st.floats(0.0, 3.0), st.integers(0, 50)), max_size=30))
 def test_starts_stay_within_their_rate(requests: list[tuple[float, int]]) -> None:
-    pace, now, made = StartRateLimiter(0.0), 0.0, 0
+    limiter, now, started = StartRateLimiter(0.0), 0.0, 0
     for elapsed_s, wanted in requests:
         now += elapsed_s
-        starts = min(wanted, pace.available(10.0, now))
-        pace.take(starts)
-        made += starts
-        assert made <= 10.0 * now + 10.0
+        starts = min(wanted, limiter.available(10.0, now))
+        limiter.take(starts)
+        started += starts
+        assert started <= 10.0 * now + 10.0
