--- a/src/cloverplank/membership/failure_detector.py
+++ b/src/cloverplank/membership/failure_detector.py
@@ -32,7 +32,7 @@
     """The number of workers that are known to be up, and of workers that sent heartbeats to this controller."""
 
     known: int = 0
-    heard: int = 0
+    reporting_here: int = 0
 
 
 class FailureDetector:
@@ -187,7 +187,7 @@
             votes=tuple(vote for vote in self._votes[node].values() if vote.observer in others),
             other_observers=len(others),
             workers=workers.known,
-            workers_reporting_here=workers.heard,
+            workers_reporting_here=workers.reporting_here,
         )
 
     def _count_workers(self, node: NodeId, since: MonotonicTime) -> WorkerCounts:
@@ -195,4 +195,4 @@
         counts = [
             self._workers_of(zone, since) for zone in self._zones if self._controller_lease.shard_owner(zone) == node
         ]
-        return WorkerCounts(sum(count.known for count in counts), sum(count.heard for count in counts))
+        return WorkerCounts(sum(count.known for count in counts), sum(count.reporting_here for count in counts))
