--- a/src/cloverplank/leader/handover.py
+++ b/src/cloverplank/leader/handover.py
@@ -18,7 +18,7 @@
 from cloverplank.leader.shard_assignment import AssignmentCandidate, ShardAssigner
 from cloverplank.membership import verdicts
 from cloverplank.membership.failure_detector import FailureDetector
-from cloverplank.membership.verdicts import Evidence, PeerState
+from cloverplank.membership.verdicts import PeerEvidence, PeerState
 from cloverplank.records.cluster import ShardRecord
 from cloverplank.records.verdicts import VerdictRecord
 from cloverplank.rollout.committed import CommittedRollout
@@ -36,7 +36,7 @@
     zone: Zone
     former_owner: NodeId
     former_token: ModRevision
-    evidence: Evidence
+    evidence: PeerEvidence
 
 
 class ShardHandover:
--- a/src/cloverplank/membership/failure_detector.py
+++ b/src/cloverplank/membership/failure_detector.py
@@ -14,7 +14,7 @@
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.membership import verdicts
 from cloverplank.membership.peer_monitor import PeerMonitor
-from cloverplank.membership.verdicts import Evidence, PeerState, SuspicionThresholds, Vote
+from cloverplank.membership.verdicts import PeerEvidence, PeerState, SuspicionThresholds, Vote
 from cloverplank.records.verdicts import VerdictRecord
 from cloverplank.settings.failure_detection import FailureDetectionSettings
 from cloverplank.wire.gossip import GossipMessage, SuspectedPeer
@@ -66,7 +66,7 @@
         self._peers = {node: PeerMonitor() for node in peers} if self.enabled else {}
         self._votes: dict[NodeId, dict[NodeId, Vote]] = {node: {} for node in self._peers}
         self._states: dict[NodeId, PeerState] = dict.fromkeys(self._peers, PeerState.ALIVE)
-        self._evidence: dict[NodeId, Evidence] = {}
+        self._evidence: dict[NodeId, PeerEvidence] = {}
         self.incarnation = clock.wall_ms() if self.enabled else 0
 
     # -- evidence
@@ -129,7 +129,7 @@
         """Return the state of a peer, or None for a controller that is not tracked."""
         return self._states.get(node)
 
-    def evidence(self, node: NodeId) -> Evidence:
+    def evidence(self, node: NodeId) -> PeerEvidence:
         """Return the evidence of the last evaluation of a peer; raise KeyError for one that is not tracked."""
         return self._evidence[node]
 
@@ -164,7 +164,7 @@
         if any(changed):
             self._broadcast()
 
-    def _update_state(self, node: NodeId, state: PeerState, evidence: Evidence) -> bool:
+    def _update_state(self, node: NodeId, state: PeerState, evidence: PeerEvidence) -> bool:
         """Set the state of a peer, log a transition, and return whether the state has changed."""
         previous = self._states[node]
         if state is previous:
@@ -173,14 +173,14 @@
         log.info("peer %s: %s -> %s: %s", node, previous.value, state.value, verdicts.reason(evidence))
         return True
 
-    def _gather_evidence(self, node: NodeId, now: MonotonicTime) -> Evidence:
+    def _gather_evidence(self, node: NodeId, now: MonotonicTime) -> PeerEvidence:
         monitor = self._peers[node]
         level = monitor.level(now)
         others = [other for other in self._peers if other != node and self._states[other] is PeerState.ALIVE]
         workers = WorkerCounts()
         if level >= self._thresholds.suspect:
             workers = self._count_workers(node, MonotonicTime(now - min(monitor.silent_s(now), MAX_HEARTBEAT_AGE_S)))
-        return Evidence(
+        return PeerEvidence(
             level=level,
             incarnation=monitor.incarnation,
             unresponsive=monitor.is_unresponsive(),
--- a/src/cloverplank/membership/verdicts.py
+++ b/src/cloverplank/membership/verdicts.py
@@ -38,7 +38,7 @@
     received_at: MonotonicTime
 
 
-class Evidence(Struct, frozen=True):
+class PeerEvidence(Struct, frozen=True):
     """The evidence on one peer at one moment.
 
     `level` is its suspicion level. `other_observers` counts the other peers that are alive and could vote. `workers`
@@ -55,7 +55,7 @@
     workers_reporting_here: int
 
 
-def state_of(evidence: Evidence, thresholds: SuspicionThresholds, now: MonotonicTime) -> PeerState:
+def state_of(evidence: PeerEvidence, thresholds: SuspicionThresholds, now: MonotonicTime) -> PeerState:
     """Return the state of a peer: suspected for silence alone, faulty if other observers or workers confirm it."""
     if evidence.level < thresholds.suspect:
         return PeerState.ALIVE
@@ -64,7 +64,7 @@
     return PeerState.FAULTY if _is_confirmed(evidence, now) else PeerState.SUSPECTED
 
 
-def _is_confirmed(evidence: Evidence, now: MonotonicTime) -> bool:
+def _is_confirmed(evidence: PeerEvidence, now: MonotonicTime) -> bool:
     agreeing = {
         vote.observer
         for vote in evidence.votes
@@ -83,7 +83,7 @@
     return peers > 1 and 2 * suspected > peers
 
 
-def reason(evidence: Evidence) -> str:
+def reason(evidence: PeerEvidence) -> str:
     """Return the evidence as one line for the log and the stored verdict."""
     return (
         f"silent for {evidence.level:.1f} usual intervals, no answer, "
--- a/tests/membership/test_verdicts.py
+++ b/tests/membership/test_verdicts.py
@@ -9,7 +9,7 @@
 
 from cloverplank.basic_types import MonotonicTime, NodeId
 from cloverplank.membership import verdicts
-from cloverplank.membership.verdicts import Evidence, PeerState, SuspicionThresholds, Vote
+from cloverplank.membership.verdicts import PeerEvidence, PeerState, SuspicionThresholds, Vote
 
 THRESHOLDS = SuspicionThresholds(1.5, 1.8)
 NOW = MonotonicTime(1000.0)
@@ -24,7 +24,7 @@
     max_size=4,
 ).map(tuple)
 EVIDENCE = st.builds(
-    Evidence,
+    PeerEvidence,
     st.floats(0, 5),
     st.integers(0, 3),
     st.booleans(),
@@ -36,7 +36,7 @@
 
 
 @given(EVIDENCE)
-def test_faulty_verdict_needs_silence_no_response_and_a_second_observer(evidence: Evidence) -> None:
+def test_faulty_verdict_needs_silence_no_response_and_a_second_observer(evidence: PeerEvidence) -> None:
     state = verdicts.state_of(evidence, THRESHOLDS, NOW)
     if state is PeerState.FAULTY:
         assert evidence.level >= THRESHOLDS.faulty
@@ -49,7 +49,7 @@
 
 
 @given(EVIDENCE)
-def test_peer_that_all_others_reach_is_never_faulty(evidence: Evidence) -> None:
+def test_peer_that_all_others_reach_is_never_faulty(evidence: PeerEvidence) -> None:
     reached = msgspec.structs.replace(evidence, votes=(), other_observers=max(1, evidence.other_observers))
     assert verdicts.state_of(reached, THRESHOLDS, NOW) is not PeerState.FAULTY
 
@@ -62,7 +62,7 @@
     ],
 )
 def test_workers_decide_between_two_controllers_alone(workers_reporting_here: int, expected: PeerState) -> None:
-    evidence = Evidence(
+    evidence = PeerEvidence(
         level=3.0,
         incarnation=1,
         unresponsive=True,
