--- a/src/cloverplank/controller/builders.py
+++ b/src/cloverplank/controller/builders.py
@@ -90,7 +90,7 @@
 
     def has_workers(zone: Zone) -> bool:
         return (
-            gossip.hears_workers(zone)
+            gossip.has_active_workers(zone)
             or any(entry.zone == zone and entry.heard_at is not None for entry in registry.entries.values())
             or any(view.record.placed(zone) for view in jobs)
         )
--- a/src/cloverplank/controller/composition.py
+++ b/src/cloverplank/controller/composition.py
@@ -317,7 +317,7 @@
     def _workers_of(self, zone: Zone, since: MonotonicTime) -> WorkerCounts:
         """Workers of a zone that were up lately, and those that have sent a heartbeat here since then."""
         known = sum(one.zone == zone and one.heard_at is not None for one in self.registry.entries.values())
-        return WorkerCounts(known, self.gossip.count_workers_heard(zone, since))
+        return WorkerCounts(known, self.gossip.count_active_workers(zone, since))
 
     # -- running
 
--- a/src/cloverplank/membership/gossip.py
+++ b/src/cloverplank/membership/gossip.py
@@ -183,7 +183,7 @@
 
     # -- workers that send their heartbeats to this controller
 
-    def note_worker(self, zone: str, machine: str) -> bool:
+    def record_worker_heartbeat(self, zone: str, machine: str) -> bool:
         """Record a worker's heartbeat; return False if the zone is unknown."""
         workers = self._workers.get(zone)
         if workers is None:
@@ -192,11 +192,11 @@
             workers[machine] = self._clock.monotonic()
         return True
 
-    def count_workers_heard(self, zone: str, since: MonotonicTime) -> int:
+    def count_active_workers(self, zone: str, since: MonotonicTime) -> int:
         """Return how many workers of a zone have sent a heartbeat to this controller since `since`."""
         return sum(heard_at >= since for heard_at in self._workers.get(zone, {}).values())
 
-    def hears_workers(self, zone: str) -> bool:
+    def has_active_workers(self, zone: str) -> bool:
         """Return whether this controller or, according to gossip, a peer receives heartbeats of a zone's workers."""
         return bool(self._workers.get(zone)) or any(
             message.worker_counts.get(zone, 0) for message in self.all_latest().values()
--- a/src/cloverplank/shard/heartbeat_handler.py
+++ b/src/cloverplank/shard/heartbeat_handler.py
@@ -48,7 +48,7 @@
             heartbeat = decode(body, Heartbeat)
         except MessageDecodeError as err:
             return undecodable(err)
-        if not self._gossip.note_worker(heartbeat.zone, heartbeat.machine):
+        if not self._gossip.record_worker_heartbeat(heartbeat.zone, heartbeat.machine):
             return make_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect())
         if heartbeat.machine in self._registry.terminated:
             # A late duplicate. It must not bring the machine back.
