--- a/src/cloverplank/controller/composition.py
+++ b/src/cloverplank/controller/composition.py
@@ -298,7 +298,7 @@
     def _key_changed(self, key: str) -> None:
         self.owned.key_changed(key)
         if key == keys.LEADER:
-            self.gossip.introduce()
+            self.gossip.send_to_leader()
         elif key == keys.TYPES:
             self._machine_types.read_stored()
         elif is_drain_key(key):
--- a/src/cloverplank/membership/gossip.py
+++ b/src/cloverplank/membership/gossip.py
@@ -244,7 +244,7 @@
         self._announcing = False
         self.broadcast()
 
-    def introduce(self) -> None:
+    def send_to_leader(self) -> None:
         """Send gossip to a new leader immediately: it assigns shards to controllers that it knows to be healthy."""
         leader = self._controller_lease.leader()
         if leader is None:
