--- a/src/cloverplank/leader/leader.py
+++ b/src/cloverplank/leader/leader.py
@@ -28,7 +28,7 @@
 from cloverplank.scheduling.quotas import team_quotas
 from cloverplank.settings.operator import OperatorSettings
 from cloverplank.settings.platform import PlatformSettings
-from cloverplank.zones.plan import ZonePlan
+from cloverplank.zones.recovery_plan import RecoveryPlan
 
 log = logging.getLogger(__name__)
 
@@ -97,7 +97,7 @@
             list_lag_s=facts.cloud.list_lag_s,
         )
 
-    def run_cycle(self, queued_jobs: list[QueuedJob], plan: ZonePlan) -> None:
+    def run_cycle(self, queued_jobs: list[QueuedJob], plan: RecoveryPlan) -> None:
         """Allocate the tasks of the queued jobs to zones, and note what lacks capacity."""
         self._zone_allocator.run_cycle(queued_jobs, plan)
 
--- a/src/cloverplank/leader/zone_allocation.py
+++ b/src/cloverplank/leader/zone_allocation.py
@@ -27,7 +27,7 @@
 from cloverplank.scheduling.quotas import Quota, UnmetDemand
 from cloverplank.wire.cloud import MachineType
 from cloverplank.wire.kvstore import Compare
-from cloverplank.zones.plan import ZonePlan
+from cloverplank.zones.recovery_plan import RecoveryPlan
 
 log = logging.getLogger(__name__)
 
@@ -83,7 +83,7 @@
         self.unmet_demands: list[UnmetDemand] = []
         self.needed_machines: set[MachineId] = set()
 
-    def run_cycle(self, queued_jobs: list[QueuedJob], plan: ZonePlan) -> None:
+    def run_cycle(self, queued_jobs: list[QueuedJob], plan: RecoveryPlan) -> None:
         """Allocate the tasks of the queued jobs to zones and stage the changed allocations."""
         mod_revision = self._controller_lease.leadership_revision()
         if mod_revision is None:
@@ -164,7 +164,7 @@
             )
             cycle.unmet_demands += unmet_demands
 
-    def _capacity_index(self, plan: ZonePlan, min_cpus: float) -> CapacityIndex:
+    def _capacity_index(self, plan: RecoveryPlan, min_cpus: float) -> CapacityIndex:
         """Return what is free, or will be once it is up, on machines that may take new tasks."""
         types = self._machines.types()
         capacities = self._registered_capacity(types, plan, min_cpus)
@@ -172,7 +172,7 @@
         return CapacityIndex(capacities, min_cpus, plan.may_use_reserved)
 
     def _registered_capacity(
-        self, types: dict[str, MachineType], plan: ZonePlan, min_cpus: float
+        self, types: dict[str, MachineType], plan: RecoveryPlan, min_cpus: float
     ) -> list[FreeCapacity]:
         result: list[FreeCapacity] = []
         for entry in self._machines.registry.entries.values():
--- a/src/cloverplank/shard/shard.py
+++ b/src/cloverplank/shard/shard.py
@@ -24,7 +24,7 @@
 from cloverplank.shard.task_reconciler import TaskReconciler
 from cloverplank.shard.task_stops import TaskStops
 from cloverplank.wire.workers import Heartbeat
-from cloverplank.zones.plan import ZonePlan
+from cloverplank.zones.recovery_plan import RecoveryPlan
 
 
 class Shard:
@@ -83,7 +83,7 @@
         """Judge which machines are up, and evict those that are not."""
         self._liveness.check()
 
-    def place(self, queued_jobs: list[QueuedJob], headroom: Headroom, plan: ZonePlan) -> None:
+    def place(self, queued_jobs: list[QueuedJob], headroom: Headroom, plan: RecoveryPlan) -> None:
         """Place what is allocated to this zone, in order, at the pace that the plan allows."""
         self.state.plan = plan
         if self.state.may_start() and not self.ownership.superseded:
--- a/src/cloverplank/zones/plan.py
+++ b/src/cloverplank/zones/recovery_plan.py
@@ -54,7 +54,7 @@
     pulls_at_once: int
 
 
-class ZonePlan:
+class RecoveryPlan:
     """The scheduling order and the admission of machines that follow from the committed health of all zones.
 
     `remaining_time` returns the seconds that are left until a job's next target, None for a job without a target.
--- a/src/cloverplank/zones/watch.py
+++ b/src/cloverplank/zones/watch.py
@@ -18,7 +18,7 @@
 from cloverplank.wire.kvstore import Compare, Put, Transaction
 from cloverplank.zones.health import RecoveryTiming, ZoneObservation, next_record
 from cloverplank.zones.observation import ZoneObserver
-from cloverplank.zones.plan import ClassOrder, PlanLimits, RemainingTime, ZonePlan
+from cloverplank.zones.recovery_plan import ClassOrder, PlanLimits, RecoveryPlan, RemainingTime
 
 log = logging.getLogger(__name__)
 
@@ -71,10 +71,10 @@
             records[zone] = healthy(zone) if stored is None else stored.record
         return records
 
-    def plan(self, remaining_time: RemainingTime) -> ZonePlan:
+    def plan(self, remaining_time: RemainingTime) -> RecoveryPlan:
         """Return the plan that follows from the committed health now."""
         records = self.records() if self._enabled else {}
-        return ZonePlan(records, self._limits, self._classes, self._clock.wall_ms(), remaining_time)
+        return RecoveryPlan(records, self._limits, self._classes, self._clock.wall_ms(), remaining_time)
 
     async def reconcile(self) -> None:
         """Commit changes of the zones' health if this controller leads.
--- a/tests/zones/test_lost_zones.py
+++ b/tests/zones/test_lost_zones.py
@@ -11,7 +11,7 @@
 from cloverplank.settings.operator import OperatorSettings
 from cloverplank.settings.rollout import RolloutSettings
 from cloverplank.settings.zones import ZoneSettings
-from cloverplank.zones.plan import ZonePlan
+from cloverplank.zones.recovery_plan import RecoveryPlan
 from tests.simulation.actions import leader
 from tests.simulation.world import World
 from tests.zones.scenarios import SCARCE_CAPACITY, SETTINGS, cut_and_restore_zone, play
@@ -27,7 +27,7 @@
 
 def test_check_detects_bulk_work_placed_first(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        ZonePlan, "arrange", lambda self, queued_jobs: sorted(queued_jobs, key=lambda queued_job: -queued_job.rank)
+        RecoveryPlan, "arrange", lambda self, queued_jobs: sorted(queued_jobs, key=lambda queued_job: -queued_job.rank)
     )
     found = [play(cut_and_restore_zone, seed, capacity=SCARCE_CAPACITY)[1].bulk_before_essential() for seed in (81, 82)]
     assert any(found)
--- a/tests/zones/test_plan.py
+++ b/tests/zones/test_plan.py
@@ -11,7 +11,14 @@
 from cloverplank.scheduling.queue import QueuedJob, scheduling_order
 from cloverplank.settings.zones import MAX_HOLD_S
 from cloverplank.zones.health import ADMISSION_STEPS
-from cloverplank.zones.plan import MAX_ADMISSION_WAIT_S, ClassOrder, Importance, PlanLimits, StartRateLimiter, ZonePlan
+from cloverplank.zones.recovery_plan import (
+    MAX_ADMISSION_WAIT_S,
+    ClassOrder,
+    Importance,
+    PlanLimits,
+    RecoveryPlan,
+    StartRateLimiter,
+)
 from tests.jobs.test_records import spec
 
 ZONE = Zone("zone-1")
@@ -38,12 +45,12 @@
     return None if due is None else due - (now - record.runnable_at) / 1000
 
 
-def plan_of(state: ZoneHealth, admitted: int = 0, classes: ClassOrder = NO_CLASS_OVERRIDES) -> ZonePlan:
+def plan_of(state: ZoneHealth, admitted: int = 0, classes: ClassOrder = NO_CLASS_OVERRIDES) -> RecoveryPlan:
     records = {
         ZONE: ZoneRecord("zone-1", state, NOW - 5000, admitted, lost_at=NOW - 5000),
         Zone("zone-0"): healthy("zone-0"),
     }
-    return ZonePlan(records, PlanLimits(30_000, 30.0, 10), classes, NOW, remaining_time)
+    return RecoveryPlan(records, PlanLimits(30_000, 30.0, 10), classes, NOW, remaining_time)
 
 
 def queue_of(records: list[JobRecord]) -> list[QueuedJob]:
