--- a/src/cloverplank/shard/recovery_pace.py
+++ b/src/cloverplank/shard/recovery_pace.py
@@ -13,14 +13,14 @@
     def __init__(self, state: ShardState) -> None:
         limits = state.plan.limits
         self._start_pace = state.start_pace
-        self._starts_per_s = limits.starts_a_second
+        self._starts_per_s = limits.starts_per_second
         self._starts = self._start_pace.available(self._starts_per_s, state.clock.monotonic())
         self._pulling = {
             machine.id
             for machine in state.machines.values()
             if any(task.state == TaskState.PULLING for task in machine.tasks.values())
         }
-        self._max_pulling = limits.pulls_at_once
+        self._max_pulling = limits.max_concurrent_pulls
 
     def allowed_starts(self, tasks: int, *, gang: bool) -> int:
         """Return how many of so many tasks may start now.
--- a/src/cloverplank/shard/state.py
+++ b/src/cloverplank/shard/state.py
@@ -15,11 +15,11 @@
 from cloverplank.shard.ownership import ShardOwnership
 from cloverplank.shard.shard_types import ShardLimits, Stop, TaskState
 from cloverplank.wire.cloud import MachineType
-from cloverplank.zones.recovery_plan import ClassOrder, PlanLimits, RecoveryPlan, StartRateLimiter
+from cloverplank.zones.recovery_plan import ClassOrder, RecoveryLimits, RecoveryPlan, StartRateLimiter
 
 MAX_MACHINES = 20_000  # in one zone: a bound on memory
 OWNER_SEARCH_S = 4.0  # workers find a new owner within this time: a time limit of theirs
-UNDISTURBED_PLAN = RecoveryPlan({}, PlanLimits(0, 0.0, 0), ClassOrder(), WallTimeMs(0), lambda record, now: None)
+UNDISTURBED_PLAN = RecoveryPlan({}, RecoveryLimits(0, 0.0, 0), ClassOrder(), WallTimeMs(0), lambda record, now: None)
 
 
 @dataclass(frozen=True, kw_only=True)
--- a/src/cloverplank/zones/recovery_plan.py
+++ b/src/cloverplank/zones/recovery_plan.py
@@ -42,16 +42,16 @@
     last: frozenset[str] = frozenset()
 
 
-class PlanLimits(Struct, frozen=True):
+class RecoveryLimits(Struct, frozen=True):
     """Limits on held work and on the recovery of a zone.
 
-    `max_hold_ms` is the longest time for which a bulk job is held. `starts_a_second` limits the rate of task starts in
-    a recovering zone, and `pulls_at_once` the number of its machines that pull images concurrently.
+    `max_hold_ms` is the longest time for which a bulk job is held. `starts_per_second` limits the rate of task starts
+    in a recovering zone, and `max_concurrent_pulls` the number of its machines that pull images concurrently.
     """
 
     max_hold_ms: int
-    starts_a_second: float
-    pulls_at_once: int
+    starts_per_second: float
+    max_concurrent_pulls: int
 
 
 class RecoveryPlan:
@@ -63,7 +63,7 @@
     def __init__(
         self,
         records: Mapping[Zone, ZoneRecord],
-        limits: PlanLimits,
+        limits: RecoveryLimits,
         classes: ClassOrder,
         now: WallTimeMs,
         remaining_time: RemainingTime,
--- a/src/cloverplank/zones/watch.py
+++ b/src/cloverplank/zones/watch.py
@@ -18,7 +18,7 @@
 from cloverplank.wire.kvstore import Compare, Put, Transaction
 from cloverplank.zones.health import RecoveryTiming, ZoneObservation, next_record
 from cloverplank.zones.observation import ZoneObserver
-from cloverplank.zones.recovery_plan import ClassOrder, PlanLimits, RecoveryPlan, RemainingTime
+from cloverplank.zones.recovery_plan import ClassOrder, RecoveryLimits, RecoveryPlan, RemainingTime
 
 log = logging.getLogger(__name__)
 
@@ -55,10 +55,10 @@
             stabilization_ms=int(settings.quiet_s * MS_PER_SECOND),
             step_interval_ms=int(settings.step_s * MS_PER_SECOND),
         )
-        self._limits = PlanLimits(
+        self._limits = RecoveryLimits(
             max_hold_ms=int(settings.longest_hold_s * MS_PER_SECOND),
-            starts_a_second=settings.starts_a_second,
-            pulls_at_once=settings.pulls_at_once,
+            starts_per_second=settings.starts_a_second,
+            max_concurrent_pulls=settings.pulls_at_once,
         )
         self._classes = ClassOrder(settings.first, settings.last)
         self._next_poll_at = NEVER
--- a/tests/zones/test_plan.py
+++ b/tests/zones/test_plan.py
@@ -15,7 +15,7 @@
     MAX_ADMISSION_WAIT_S,
     ClassOrder,
     Importance,
-    PlanLimits,
+    RecoveryLimits,
     RecoveryPlan,
     StartRateLimiter,
 )
@@ -50,7 +50,7 @@
         ZONE: ZoneRecord("zone-1", state, NOW - 5000, admitted, lost_at=NOW - 5000),
         Zone("zone-0"): healthy("zone-0"),
     }
-    return RecoveryPlan(records, PlanLimits(30_000, 30.0, 10), classes, NOW, remaining_time)
+    return RecoveryPlan(records, RecoveryLimits(30_000, 30.0, 10), classes, NOW, remaining_time)
 
 
 def queue_of(records: list[JobRecord]) -> list[QueuedJob]:
