--- a/src/cloverplank/shard/capacity.py
+++ b/src/cloverplank/shard/capacity.py
@@ -26,7 +26,7 @@
         """Return what is free on machines that may take new tasks; machines with less than `min_cpus` are left out."""
         state = self._state
         machine_types = state.machine_types()
-        withholds = state.plan.withholds(state.zone)
+        restricts_admission = state.plan.restricts_admission(state.zone)
         free_capacities = []
         for machine in state.machines.values():
             machine_type = machine_types.get(machine.type)
@@ -36,12 +36,12 @@
                 continue  # full for this cycle: under a backlog most are
             if machine.id in state.draining or self._is_faulty(machine) or machine.id in state.emptying:
                 continue
-            if withholds and not self._is_reconciled(machine):
+            if restricts_admission and not self._is_reconciled(machine):
                 continue
             capacity = self._cache.capacity(
                 machine.id, state.zone, machine_type, spot=machine.spot, images=machine.known_images
             )
-            capacity.reserved = withholds and not self._is_admitted(machine)
+            capacity.reserved = restricts_admission and not self._is_admitted(machine)
             free_capacities.append(capacity)
         return CapacityIndex(free_capacities, min_cpus, state.plan.may_use_reserved)
 
--- a/src/cloverplank/zones/recovery_plan.py
+++ b/src/cloverplank/zones/recovery_plan.py
@@ -84,7 +84,7 @@
         record = self._records.get(zone)
         return ZoneHealth.HEALTHY if record is None else record.health
 
-    def withholds(self, zone: Zone) -> bool:
+    def restricts_admission(self, zone: Zone) -> bool:
         """Return whether machines of the zone need to be admitted before they take new tasks."""
         return self.health(zone) in DISTURBED_HEALTH
 
@@ -94,7 +94,7 @@
         The decision depends on the hash of the machine's name and the committed record only, so that all controllers
         agree on it. A machine that has been up for MAX_ADMISSION_WAIT_S is always admitted.
         """
-        if not self.withholds(zone) or up_for_s >= MAX_ADMISSION_WAIT_S:
+        if not self.restricts_admission(zone) or up_for_s >= MAX_ADMISSION_WAIT_S:
             return True
         return zlib.crc32(machine.encode()) % ALL_MACHINES_PER_CENT < self._records[zone].admitted
 
