--- a/src/cloverplank/zones/status.py
+++ b/src/cloverplank/zones/status.py
@@ -20,7 +20,7 @@
     """The status of one zone of the deployment.
 
     `since_ms` is the time of day of the transition to `health`. `admitted` is the percentage of machines that take new
-    tasks. `flaps` counts consecutive losses. `controllers_there` are the zone's controllers that hold a lease.
+    tasks. `flaps` counts consecutive losses. `live_controllers` are the zone's controllers that hold a lease.
     """
 
     zone: str
@@ -30,7 +30,7 @@
     flaps: int
     evidence: str
     shard_owner: str | None = field(name="holder")
-    controllers_there: list[str]
+    live_controllers: list[str] = field(name="controllers_there")
     readable: bool = True
 
 
@@ -53,7 +53,7 @@
     if zone.flaps:
         parts.append(f"lost {zone.flaps} times in a row")
     parts.append(f"holder {zone.shard_owner or 'nobody'}")
-    parts.append(f"controllers there: {', '.join(zone.controllers_there) or 'none'}")
+    parts.append(f"controllers there: {', '.join(zone.live_controllers) or 'none'}")
     if zone.evidence:
         parts.append(f"last judged on: {zone.evidence}")
     return "; ".join(parts)
@@ -100,7 +100,7 @@
             flaps=record.flaps,
             evidence=record.evidence,
             shard_owner=self.shard_owners.get(zone),
-            controllers_there=sorted(self.live_controllers.get(zone, [])),
+            live_controllers=sorted(self.live_controllers.get(zone, [])),
             readable=key not in self.unreadable,
         )
 
--- a/tests/settings/test_status_commands.py
+++ b/tests/settings/test_status_commands.py
@@ -61,7 +61,7 @@
     status = zones_status.status_of(key_values, ["a", "b", "c"])
     assert [zone.health for zone in status.zones] == ["healthy", "recovering", "healthy"]
     assert status.zones[1].shard_owner == "c-1"
-    assert status.zones[1].controllers_there == ["c-1"]
+    assert status.zones[1].live_controllers == ["c-1"]
     text = status.as_text()
     assert "25% of its machines" in text
     assert "lost 2 times in a row" in text
