--- a/src/cloverplank/controller/builders.py
+++ b/src/cloverplank/controller/builders.py
@@ -19,7 +19,7 @@
 from cloverplank.scheduling.quotas import team_quotas
 from cloverplank.wire.cloud import MachineType
 from cloverplank.zones.observation import ZoneObserver
-from cloverplank.zones.watch import ZoneWatch
+from cloverplank.zones.watch import ZoneHealthMonitor
 
 
 def build_users(
@@ -49,7 +49,9 @@
     return Users(job_access, submissions, blocked_jobs, cancelled=cancelled)
 
 
-def build_zone_watch(environment: Environment, access: StoreAccess, registry: MachineRegistry) -> ZoneWatch:
+def build_zone_health_monitor(
+    environment: Environment, access: StoreAccess, registry: MachineRegistry
+) -> ZoneHealthMonitor:
     """Build what judges the zones of the deployment, from the machines in the registry."""
     observer = ZoneObserver(
         environment.zones,
@@ -58,7 +60,7 @@
         clock=environment.clock,
         heartbeat_interval_s=environment.platform.facts.workers.heartbeat_interval_s,
     )
-    return ZoneWatch(
+    return ZoneHealthMonitor(
         environment.zones,
         environment.operator.zones,
         clock=environment.clock,
--- a/src/cloverplank/controller/composition.py
+++ b/src/cloverplank/controller/composition.py
@@ -9,7 +9,7 @@
 from cloverplank.autoscaling.draining import DrainingMachines, is_drain_key
 from cloverplank.autoscaling.registry import MachineRegistry
 from cloverplank.basic_types import Clock, FencingToken, JobId, MonotonicTime, Zone
-from cloverplank.controller.builders import build_rollout, build_users, build_zone_watch, zone_has_workers
+from cloverplank.controller.builders import build_rollout, build_users, build_zone_health_monitor, zone_has_workers
 from cloverplank.controller.environment import Environment
 from cloverplank.controller.machine_types import MachineTypeCatalog
 from cloverplank.controller.reconcile_loop import ReconcileLoop
@@ -219,14 +219,14 @@
 
     def _build_loops(self) -> None:
         environment = self._environment
-        zone_watch = build_zone_watch(environment, self._access, self.registry)
+        zone_health_monitor = build_zone_health_monitor(environment, self._access, self.registry)
         cycle = SchedulingCycle(
             clock=environment.clock,
             meter=environment.meter,
             controller_lease=self.controller_lease,
             owned=self.owned,
             registry=self.registry,
-            zone_watch=zone_watch,
+            zone_health_monitor=zone_health_monitor,
             job_queue=JobQueue(
                 environment.platform.facts.teams,
                 clock=environment.clock,
@@ -247,7 +247,7 @@
             watch_cache=self.watch_cache,
             shard_assigner=self.leader.shard_assigner,
             rollout=build_rollout(environment, self._access),
-            zone_watch=zone_watch,
+            zone_health_monitor=zone_health_monitor,
             handover=self.handover,
             owned=self.owned,
             gossip=self.gossip,
--- a/src/cloverplank/controller/reconcile_loop.py
+++ b/src/cloverplank/controller/reconcile_loop.py
@@ -14,7 +14,7 @@
 from cloverplank.membership.gossip import PeerGossip
 from cloverplank.rollout.driver import RolloutDriver
 from cloverplank.shard.owned_shards import OwnedShards
-from cloverplank.zones.watch import ZoneWatch
+from cloverplank.zones.watch import ZoneHealthMonitor
 
 log = logging.getLogger(__name__)
 
@@ -34,7 +34,7 @@
         watch_cache: WatchCache,
         shard_assigner: ShardAssigner,
         rollout: RolloutDriver,
-        zone_watch: ZoneWatch,
+        zone_health_monitor: ZoneHealthMonitor,
         handover: ShardHandover,
         owned: OwnedShards,
         gossip: PeerGossip,
@@ -45,7 +45,7 @@
         self._watch_cache = watch_cache
         self._shard_assigner = shard_assigner
         self._rollout = rollout
-        self._zone_watch = zone_watch
+        self._zone_health_monitor = zone_health_monitor
         self._handover = handover
         self._owned = owned
         self._gossip = gossip
@@ -66,7 +66,7 @@
         await self._controller_lease.campaign()
         await self._shard_assigner.assign_shards()
         await self._rollout.reconcile()
-        await self._zone_watch.reconcile()
+        await self._zone_health_monitor.reconcile()
         await self._handover.reconcile()
         for shard in list(self._owned.shards.values()):
             await self._owned.reconcile(shard, peers_are_healthy=self._peers_are_healthy())
--- a/src/cloverplank/controller/scheduling_cycle.py
+++ b/src/cloverplank/controller/scheduling_cycle.py
@@ -17,7 +17,7 @@
 from cloverplank.scheduling.queue import QueuedJob, scheduling_order
 from cloverplank.settings.platform import Team
 from cloverplank.shard.owned_shards import OwnedShards
-from cloverplank.zones.watch import ZoneWatch
+from cloverplank.zones.watch import ZoneHealthMonitor
 
 # Between two updates of the owned machines in the registry, on the leader and on others.
 LEADER_REGISTRY_INTERVAL_S = 0.5
@@ -76,7 +76,7 @@
         controller_lease: ControllerLease,
         owned: OwnedShards,
         registry: MachineRegistry,
-        zone_watch: ZoneWatch,
+        zone_health_monitor: ZoneHealthMonitor,
         job_queue: JobQueue,
         objectives: ServiceLevelObjectives,
         headroom: Headroom,
@@ -87,7 +87,7 @@
         self._controller_lease = controller_lease
         self._owned = owned
         self._registry = registry
-        self._zone_watch = zone_watch
+        self._zone_health_monitor = zone_health_monitor
         self._job_queue = job_queue
         self._objectives = objectives
         self._headroom = headroom
@@ -109,7 +109,7 @@
             return
         yield
         self._update_registry()
-        plan = self._zone_watch.plan(self._objectives.time_left)
+        plan = self._zone_health_monitor.plan(self._objectives.time_left)
         queued_jobs = plan.arrange(self._job_queue.in_order())
         if is_leader:
             with self._meter.section(Part.LEADER_CYCLE):
--- a/src/cloverplank/zones/watch.py
+++ b/src/cloverplank/zones/watch.py
@@ -25,7 +25,7 @@
 POLL_INTERVAL_S = 0.5
 
 
-class ZoneWatch:
+class ZoneHealthMonitor:
     """Commits the health of zones while this controller leads, and derives plans from the committed records.
 
     While disabled, and in a deployment with a single zone, it commits nothing and its plan is always idle.
