--- a/src/cloverplank/membership/gossip.py
+++ b/src/cloverplank/membership/gossip.py
@@ -194,7 +194,7 @@
 
     def count_active_workers(self, zone: str, since: MonotonicTime) -> int:
         """Return how many workers of a zone have sent a heartbeat to this controller since `since`."""
-        return sum(heard_at >= since for heard_at in self._workers.get(zone, {}).values())
+        return sum(last_heartbeat_at >= since for last_heartbeat_at in self._workers.get(zone, {}).values())
 
     def has_active_workers(self, zone: str) -> bool:
         """Return whether this controller or, according to gossip, a peer receives heartbeats of a zone's workers."""
@@ -205,7 +205,7 @@
     def _forget_silent_workers(self) -> None:
         now = self._clock.monotonic()
         for workers in self._workers.values():
-            silent = [name for name, heard_at in workers.items() if now - heard_at > WORKER_TTL_S]
+            silent = [name for name, last_heartbeat_at in workers.items() if now - last_heartbeat_at > WORKER_TTL_S]
             for name in silent:
                 del workers[name]
 
