--- a/src/cloverplank/membership/status.py
+++ b/src/cloverplank/membership/status.py
@@ -50,7 +50,9 @@
         parts.append(f"holds {', '.join(controller.owned_shards)}")
     verdict = controller.verdict
     if verdict is not None:
-        parts.append(f"block {verdict.zone} went to {verdict.to} ({verdict.count} in a row): {verdict.reason}")
+        parts.append(
+            f"block {verdict.zone} went to {verdict.new_owner} ({verdict.consecutive} in a row): {verdict.reason}"
+        )
     return "; ".join(parts)
 
 
--- a/src/cloverplank/rollout/committed.py
+++ b/src/cloverplank/rollout/committed.py
@@ -7,7 +7,7 @@
 from cloverplank.jobs.shapes import CompactUse, Shape
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.watch_cache import WatchCache
-from cloverplank.records.rollout import FormatRecord, RolloutPhase, RolloutRecord, initial_record
+from cloverplank.records.rollout import FormatRecord, RolloutPhase, RolloutRecord, initial_rollout_record
 from cloverplank.wire.kvstore import Compare
 
 GATE_KEYS = (keys.ROLLOUT, keys.FORMAT)  # the keys that decide which shapes may be written
@@ -49,7 +49,7 @@
 
     def current(self) -> RolloutRecord:
         """Return the committed record, or what holds without one."""
-        return self.stored() or initial_record(self.announced())
+        return self.stored() or initial_rollout_record(self.announced())
 
     def unreadable_keys(self) -> list[str]:
         """Return the keys that decide about shapes and can't be read."""
@@ -71,7 +71,7 @@
         """Return what a write of the shape is conditional on: the gate's keys as the watch cache has them."""
         if shape is Shape.PLAIN:
             return []
-        return [Compare(key, self._watch_cache.mod_revision_or_unreadable(key)) for key in GATE_KEYS]
+        return [Compare(key, self._watch_cache.stored_mod_revision(key)) for key in GATE_KEYS]
 
     def incompatibility(self) -> str | None:
         """Return why this program must not serve any more, by what the watch cache shows."""
@@ -79,4 +79,4 @@
 
     def mod_revision(self) -> ModRevision:
         """Return the mod revision of the rollout's key, 0 without one."""
-        return self._watch_cache.mod_revision_or_unreadable(keys.ROLLOUT)
+        return self._watch_cache.stored_mod_revision(keys.ROLLOUT)
--- a/src/cloverplank/zones/observation.py
+++ b/src/cloverplank/zones/observation.py
@@ -81,7 +81,7 @@
     def _count_machines(self, now: MonotonicTime) -> dict[Zone, _MachineCount]:
         counts = {zone: _MachineCount() for zone in self._since}
         for entry in self._registry.entries.values():
-            if entry.heard_at is None or entry.zone not in counts:
+            if entry.last_contact_at is None or entry.zone not in counts:
                 continue  # a machine that may never have been up is no evidence
             count = counts[entry.zone]
             count.machines += 1
@@ -89,8 +89,8 @@
         return counts
 
     def _is_silent(self, entry: MachineEntry, now: MonotonicTime) -> bool:
-        heard_at = entry.heard_at
-        return entry.health in SILENT_HEALTH or heard_at is None or now - heard_at > self._max_silence_s
+        last_contact_at = entry.last_contact_at
+        return entry.health in SILENT_HEALTH or last_contact_at is None or now - last_contact_at > self._max_silence_s
 
     def _observe_zone(
         self, zone: Zone, counts: dict[Zone, _MachineCount], live_zones: Sequence[Zone | None], now: MonotonicTime
--- a/tests/kvstore/test_client.py
+++ b/tests/kvstore/test_client.py
@@ -1,4 +1,4 @@
-"""Requests to the store: which errors responses are, and what they count against."""
+"""Requests to the store: the errors that responses and failures raise, and the tokens that requests take."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class FakeHttp:
-    """Gives every request the same response, or fails it with the same error."""
+    """Returns the same response to every request, or raises the same error."""
 
     def __init__(self) -> None:
         self.result: Response | Exception = make_response(200)
@@ -129,7 +129,7 @@
         with pytest.raises(StoreUnavailableError):
             asyncio.run(get(client))
         time.now += DOWN_AFTER_S
-    assert client.down()
+    assert client.is_down()
 
 
 def test_response_ends_an_outage(client: StoreClient, http: FakeHttp, time: ManualClock) -> None:
@@ -139,22 +139,22 @@
     time.now += DOWN_AFTER_S
     http.result = make_response(404)
     assert asyncio.run(get(client)) is None
-    assert not client.down()
+    assert not client.is_down()
 
 
 def test_rate_limit_of_the_store_drains_the_token_buckets(client: StoreClient, http: FakeHttp) -> None:
     http.result = make_response(429)
     with pytest.raises(StoreUnavailableError):
         asyncio.run(get(client))
-    assert not client.requests.take(0.1)
-    assert not client.changes.take(0.1)
+    assert not client.request_tokens.take(0.1)
+    assert not client.change_tokens.take(0.1)
 
 
 def test_transaction_takes_a_token_for_each_change_that_is_not_prepaid(client: StoreClient, http: FakeHttp) -> None:
     http.result = make_response(200, TransactionResponse(5))
-    asyncio.run(client.commit(TRANSACTION, reserved=1.0))
-    assert client.requests.taken == 1.0
-    assert client.changes.taken == 1.0
+    asyncio.run(client.commit(TRANSACTION, prepaid=1.0))
+    assert client.request_tokens.taken == 1.0
+    assert client.change_tokens.taken == 1.0
 
 
 @pytest.mark.parametrize(
