--- a/src/cloverplank/background.py
+++ b/src/cloverplank/background.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside the object that started them, and what loops wait for."""
+"""Background asyncio tasks, and waiting for an event with a timeout."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 async def wait_for_event(event: asyncio.Event, timeout_s: float) -> None:
-    """Return once the event is set, or after `timeout_s` seconds."""
+    """Wait until the event is set, for at most `timeout_s` seconds."""
     try:
         async with asyncio.timeout(timeout_s):
             await event.wait()
@@ -20,7 +20,10 @@
 
 
 class BackgroundTasks:
-    """Keeps a reference to each task until it ends, and logs the failure of one that nobody awaits."""
+    """Holds a strong reference to each task until it ends, and logs the exception of every task that fails.
+
+    The log is needed because a background task is usually not awaited, so its exception would go unnoticed.
+    """
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
@@ -29,18 +32,18 @@
         return iter(self._tasks)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Start a task for the coroutine and return it."""
+        """Start the coroutine as a task and return the task."""
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
         return task
 
     def cancel(self) -> None:
-        """Cancel every task that has not ended."""
+        """Request cancellation of every task that has not ended."""
         for task in self._tasks:
             task.cancel()
 
     def _on_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("background task failed", exc_info=task.exception())
+            log.error("background task failed: %r", task, exc_info=task.exception())
--- a/src/cloverplank/basic_types.py
+++ b/src/cloverplank/basic_types.py
@@ -1,4 +1,4 @@
-"""Types of ids, revisions and times that all packages use, and the clocks."""
+"""Types of identifiers, revisions and times used by all packages, and the clocks of a process."""
 
 from __future__ import annotations
 
@@ -9,41 +9,41 @@
 
 JobId = NewType("JobId", str)
 MachineId = NewType("MachineId", str)
-NodeId = NewType("NodeId", str)  # of a controller
+NodeId = NewType("NodeId", str)  # the name of a controller
 Zone = NewType("Zone", str)
 
-ModRevision = NewType("ModRevision", int)  # revision of the last change of one key; 0: no such key
-Revision = NewType("Revision", int)  # revision of the whole key-value store
-FencingToken = NewType("FencingToken", int)  # of a shard owner: the mod revision of the shard's key
-Attempt = NewType("Attempt", int)  # counts the placements of a job
+ModRevision = NewType("ModRevision", int)  # the revision of the last change of one key; 0 if the key does not exist
+Revision = NewType("Revision", int)  # the revision of the whole key-value store
+FencingToken = NewType("FencingToken", int)  # identifies one ownership of a shard: the mod revision of the shard's key
+Attempt = NewType("Attempt", int)  # the number of a placement of a job, increasing with each placement
 LeaseId = NewType("LeaseId", int)
 
-MonotonicTime = NewType("MonotonicTime", float)  # seconds of the local monotonic clock
-WallTimeMs = NewType("WallTimeMs", int)  # time of day, ms
+MonotonicTime = NewType("MonotonicTime", float)  # seconds on the local monotonic clock
+WallTimeMs = NewType("WallTimeMs", int)  # milliseconds since the Unix epoch
 
 MS_PER_SECOND = 1000
-NEVER = MonotonicTime(-1e9)  # before every moment of the monotonic clock
-DRIFT = 0.0005  # by this ratio at most the monotonic clocks of two machines drift apart
+NEVER = MonotonicTime(-1e9)  # time of an event that has not happened yet: before any reading of the monotonic clock
+DRIFT = 0.0005  # upper bound of the relative rate difference between the monotonic clocks of two machines
 MAX_TASK_INDEX_DIGITS = 9
-MAX_CACHED_TASK_NAMES = 80_000  # successive heartbeats name the same tasks: 4,000 machines with 20 each
+MAX_CACHED_TASK_NAMES = 80_000  # successive heartbeats repeat task names: 4,000 machines with 20 tasks each
 
 
 class TaskRef(NamedTuple):
-    """One task of one job, in one attempt."""
+    """Identifies one task of a job in one attempt."""
 
     job: JobId
-    index: int  # type: ignore[assignment]  # hides tuple.index
+    index: int  # type: ignore[assignment]  # shadows tuple.index
     attempt: Attempt
 
     @property
     def name(self) -> str:
-        """The name by which workers know the task."""
+        """The task's name in the protocol with workers."""
         return f"{self.job}/{self.index}"
 
 
 @lru_cache(maxsize=MAX_CACHED_TASK_NAMES)
 def parse_task(name: str, attempt: int) -> TaskRef | None:
-    """Return the task that a worker's name stands for, None where it is no name of a task."""
+    """Parse a task name sent by a worker; return None if it is malformed."""
     job, slash, index = name.rpartition("/")
     if not slash or not index.isdecimal() or len(index) > MAX_TASK_INDEX_DIGITS:
         return None
@@ -51,7 +51,10 @@
 
 
 class Clock:
-    """The two clocks of a process; tests pass in others. Both functions return seconds."""
+    """The monotonic and the wall clock of a process; tests inject their own.
+
+    Both functions passed in return seconds.
+    """
 
     def __init__(
         self,
@@ -62,9 +65,9 @@
         self._wall = wall
 
     def monotonic(self) -> MonotonicTime:
-        """Return the seconds of the monotonic clock."""
+        """Return the reading of the monotonic clock in seconds."""
         return MonotonicTime(self._monotonic())
 
     def wall_ms(self) -> WallTimeMs:
-        """Return the time of day in milliseconds."""
+        """Return the wall-clock time in milliseconds since the Unix epoch."""
         return WallTimeMs(int(self._wall() * MS_PER_SECOND))
--- a/src/cloverplank/errors.py
+++ b/src/cloverplank/errors.py
@@ -1,5 +1,5 @@
-"""The base of all errors that this package raises."""
+"""The base class of all errors raised by this package."""
 
 
 class CloverplankError(Exception):
-    """Base of every error of this package; the message says what went wrong in one line."""
+    """Base class of all errors of this package; the message describes the failure in one line."""
--- a/src/cloverplank/feature_gates.py
+++ b/src/cloverplank/feature_gates.py
@@ -1,4 +1,4 @@
-"""The feature gates: what came with which cluster version, and which stored types it adds or changes."""
+"""The feature gates: the cluster version that introduced each feature, and the stored types it adds or changes."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 class Stage(Enum):
-    """How a feature relates to older versions."""
+    """Whether older versions can read what a feature writes, and so when the feature is enabled."""
 
-    GATED = "gated"  # writes shapes that older versions can't read, so it is enabled by the cluster version
-    OWN_KEYS = "own keys"  # writes only under keys that older versions don't read, so it is always enabled
+    GATED = "gated"  # writes record shapes that older versions can't read: enabled by the cluster version
+    OWN_KEYS = "own keys"  # writes only keys that older versions don't read: always enabled
 
 
 class Feature(Struct, frozen=True):
-    """One entry of the registry of features."""
+    """An entry in the feature registry."""
 
     name: str
-    version: int  # the cluster version that it came with
+    version: int  # the cluster version that introduced the feature
     stage: Stage
-    schemas: frozenset[str]  # the stored types that it adds, or changes in ways that older versions don't accept
+    schemas: frozenset[str]  # stored types that it adds, or changes incompatibly for older versions
 
 
 COMPACT_RECORDS = Feature(
