--- a/src/cloverplank/rollout/__init__.py
+++ b/src/cloverplank/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Staged rollouts of new stored shapes: the committed cluster version, its phases, and the rewriting of records."""
+"""Staged rollouts of new record shapes: the committed cluster version, its phases, and the migration of records."""
--- a/src/cloverplank/rollout/commits.py
+++ b/src/cloverplank/rollout/commits.py
@@ -1,4 +1,4 @@
-"""The transaction that carries out a step of a rollout, with everything that it is conditional on."""
+"""Builds the transactions that commit the steps of a rollout, with the compares that guard them."""
 
 from __future__ import annotations
 
@@ -13,63 +13,78 @@
 from cloverplank.rollout.steps import Step
 from cloverplank.wire.kvstore import COMPARES_PER_CHANGE, Compare, Delete, Put, Transaction
 
-FIXED_COMPARES = 3  # leader, rollout, format
-FIXED_CHANGES = 2  # rollout, format
+FIXED_COMPARES = 3  # compares of every step: leader, rollout and format keys
+FIXED_CHANGES = 2  # writes of every step: rollout and format keys
 
 
 class StepLimits(Struct, frozen=True):
-    """How many controllers' keys one step's transaction can compare, and how many it can write."""
+    """The maximum numbers of controllers' keys that the transaction of one step can compare and can write."""
 
-    max_unchanged: int
-    max_barred: int
+    max_compared_controllers: int
+    max_barred_controllers: int
 
 
 def step_limits(txn_ops: int) -> StepLimits:
-    """Return what a transaction of `txn_ops` changes leaves besides the keys of the rollout itself."""
+    """Return the limits that remain in a transaction of `txn_ops` changes after the keys of the rollout itself."""
     return StepLimits(txn_ops * COMPARES_PER_CHANGE - FIXED_COMPARES, max(0, txn_ops - FIXED_CHANGES))
 
 
 class StepCommits:
-    """Makes transactions from the watch cache that the step was decided on."""
+    """Builds transactions whose compares use the watch cache on which the step was decided."""
 
     def __init__(self, watch_cache: WatchCache, committed: CommittedRollout, txn_ops: int) -> None:
         self._watch_cache = watch_cache
         self._committed = committed
         self._txn_ops = txn_ops
 
-    def commit(self, leader: ModRevision, step: Step) -> Transaction:
-        """Return the transaction of a step; it fails if anything that the step rests on has changed."""
-        conditions = self._fixed_conditions(leader)
+    def commit(self, leadership_revision: ModRevision, step: Step) -> Transaction:
+        """Return the transaction that commits a step; it fails if any key on which the decision was based has changed.
+
+        `leadership_revision` is the mod revision of the leader's key.
+        """
+        conditions = self._fixed_conditions(leadership_revision)
         conditions += [Compare(keys.node(name), mod_revision) for name, mod_revision in step.unchanged.items()]
         conditions += [self._as_cached(keys.node(name)) for name in sorted(step.barred)]
         changes: list[Put | Delete] = [Put(keys.ROLLOUT, step.record)]
         if step.record.version != self._committed.announced():
             changes.append(_announcement(step.record.version))
-        bar = NodeRecord("", NO_LEASE, step.record.version, step.record.version)
-        changes += [Put(keys.node(name), bar) for name in sorted(step.barred)]
+        barring_record = NodeRecord("", NO_LEASE, step.record.version, step.record.version)
+        changes += [Put(keys.node(name), barring_record) for name in sorted(step.barred)]
         if step.record.phase is RolloutPhase.FINALIZED and step.record.version < self._committed.current().version:
-            readmitted = self._barred_keys()[: self._txn_ops - len(changes)]
-            conditions += [self._as_cached(key) for key in readmitted]
-            changes += [Delete(key) for key in readmitted]
+            readmitted_keys = self._barred_keys()[: self._txn_ops - len(changes)]
+            conditions += [self._as_cached(key) for key in readmitted_keys]
+            changes += [Delete(key) for key in readmitted_keys]
         return Transaction(conditions, changes)
 
-    def announcement(self, leader: ModRevision, version: int, able: dict[NodeId, ModRevision]) -> Transaction:
+    def announcement(
+        self, leadership_revision: ModRevision, version: int, compatible: dict[NodeId, ModRevision]
+    ) -> Transaction:
         """Return a transaction that announces a version without a rollout.
 
-        It is conditional on the keys of the able controllers, as many as fit in a transaction.
+        The transaction is conditional on the keys of as many compatible controllers as fit into it.
         """
-        unchanged = [Compare(keys.node(name), mod_revision) for name, mod_revision in able.items()]
-        conditions = self._fixed_conditions(leader) + unchanged[: step_limits(self._txn_ops).max_unchanged]
+        unchanged = [Compare(keys.node(name), mod_revision) for name, mod_revision in compatible.items()]
+        conditions = (
+            self._fixed_conditions(leadership_revision)
+            + unchanged[: step_limits(self._txn_ops).max_compared_controllers]
+        )
         return Transaction(conditions, [_announcement(version)])
 
-    def _fixed_conditions(self, leader: ModRevision) -> list[Compare]:
-        return [Compare(keys.LEADER, leader), self._as_cached(keys.ROLLOUT), self._as_cached(keys.FORMAT)]
+    def _fixed_conditions(self, leadership_revision: ModRevision) -> list[Compare]:
+        return [
+            Compare(keys.LEADER, leadership_revision),
+            self._as_cached(keys.ROLLOUT),
+            self._as_cached(keys.FORMAT),
+        ]
 
     def _as_cached(self, key: str) -> Compare:
         return Compare(key, self._watch_cache.mod_revision_or_unreadable(key))
 
     def _barred_keys(self) -> list[str]:
-        """Return the keys that bar excused controllers; older programs may join again at a lower version."""
+        """Return the keys that bar excused controllers from joining.
+
+        They are deleted once the version is lower again, since older programs may join then.
+        """
         nodes = self._watch_cache.list_records(keys.NODES, NodeRecord)
         return [keys.node(name) for name, (record, _) in nodes.items() if not record.is_live()]
 
--- a/src/cloverplank/rollout/committed.py
+++ b/src/cloverplank/rollout/committed.py
@@ -1,4 +1,4 @@
-"""What the committed rollout allows this controller, read from its watch cache."""
+"""The committed state of the rollout, as in the watch cache, and what it allows this controller to write."""
 
 from __future__ import annotations
 
@@ -10,73 +10,76 @@
 from cloverplank.records.rollout import FormatRecord, RolloutPhase, RolloutRecord, initial_record
 from cloverplank.wire.kvstore import Compare
 
-GATE_KEYS = (keys.ROLLOUT, keys.FORMAT)  # the keys that decide which shapes may be written
+GATE_KEYS = (keys.ROLLOUT, keys.FORMAT)  # the keys that determine which record shapes may be written
 
 
 def compact_use(current: RolloutRecord) -> CompactUse:
-    """Return what a rollout's state allows for the compact shape."""
-    gate = COMPACT_RECORDS.version
-    if current.version < gate:
+    """Return how the compact shape may be used in the given state of the rollout."""
+    required_version = COMPACT_RECORDS.version
+    if current.version < required_version:
         return CompactUse.NEVER
-    if current.version == gate and current.phase is RolloutPhase.RETREATING:
+    if current.version == required_version and current.phase is RolloutPhase.RETREATING:
         return CompactUse.LEAVING
     return CompactUse.ALLOWED
 
 
 def incompatibility(current: RolloutRecord) -> str | None:
-    """Return why this program must not serve at the cluster version, or None where it may."""
-    # In a retreat, or on the way to a version, records of both versions are stored.
+    """Return the reason why this program can't serve at the cluster version, or None if it can."""
+    # During an upgrade or a retreat, records of both the current and the target version are stored.
     if not OLDEST_VERSION <= current.version <= NEWEST_VERSION:
         return f"the cluster version is {current.version}, this program reads {OLDEST_VERSION} to {NEWEST_VERSION}"
     return None
 
 
 class CommittedRollout:
-    """The gate of every write in a shape that not all versions read."""
+    """Gates writes in record shapes that some versions can't read, by the state of the rollout in the watch cache."""
 
     def __init__(self, watch_cache: WatchCache) -> None:
         self._watch_cache = watch_cache
 
     def announced(self) -> int:
-        """Return the version of the format key, 0 without one."""
+        """Return the version in the format key, or 0 if there is no such key."""
         stored = self._watch_cache.get(keys.FORMAT, FormatRecord)
         return 0 if stored is None else stored.record.version
 
     def stored(self) -> RolloutRecord | None:
-        """Return the committed record, or None where no rollout was ever begun or the record can't be read."""
+        """Return the committed record, or None if no rollout was ever started or the record can't be read."""
         stored = self._watch_cache.get(keys.ROLLOUT, RolloutRecord)
         return None if stored is None else stored.record
 
     def current(self) -> RolloutRecord:
-        """Return the committed record, or what holds without one."""
+        """Return the committed record, or the initial record if there is none."""
         return self.stored() or initial_record(self.announced())
 
     def unreadable_keys(self) -> list[str]:
-        """Return the keys that decide about shapes and can't be read."""
+        """Return those of the GATE_KEYS whose values can't be read."""
         return [key for key in GATE_KEYS if key in self._watch_cache.unreadable]
 
     def compact_use(self) -> CompactUse:
-        """Return what may be written in the compact shape now; nothing becomes compact where keys can't be read."""
+        """Return how the compact shape may be used now; no record becomes compact while a gate key can't be read."""
         return CompactUse.LEAVING if self.unreadable_keys() else compact_use(self.current())
 
     def compact_allowed(self) -> bool:
-        """Return whether records may become compact."""
+        """Return whether records may be converted to the compact shape."""
         return self.compact_use() is CompactUse.ALLOWED
 
     def may_stay_compact(self, job: JobId) -> bool:
-        """Return whether the record is stored compact and may stay so if it does not fit in the plain shape."""
+        """Return whether the job's record is stored compact and may stay compact if its plain form is too large."""
         return job in self._watch_cache.compact_jobs and self.compact_use() is CompactUse.LEAVING
 
     def conditions(self, shape: Shape) -> list[Compare]:
-        """Return what a write of the shape is conditional on: the gate's keys as the watch cache has them."""
+        """Return the compares that guard a write in the shape.
+
+        A write in a gated shape requires the gate keys to be unchanged since the watch cache read them.
+        """
         if shape is Shape.PLAIN:
             return []
         return [Compare(key, self._watch_cache.mod_revision_or_unreadable(key)) for key in GATE_KEYS]
 
     def incompatibility(self) -> str | None:
-        """Return why this program must not serve any more, by what the watch cache shows."""
+        """Return the reason why this program can't serve at the version in the watch cache, or None if it can."""
         return incompatibility(self.current())
 
     def mod_revision(self) -> ModRevision:
-        """Return the mod revision of the rollout's key, 0 without one."""
+        """Return the mod revision of the rollout key, or 0 if there is no such key."""
         return self._watch_cache.mod_revision_or_unreadable(keys.ROLLOUT)
--- a/src/cloverplank/rollout/driver.py
+++ b/src/cloverplank/rollout/driver.py
@@ -1,4 +1,4 @@
-"""Carries out the steps of a rollout while this controller leads."""
+"""Advances the staged rollout while this controller is the leader."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 log = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.5
-REWRITING_PHASES = (RolloutPhase.ACTIVE, RolloutPhase.RETREATING)
+MIGRATION_PHASES = (RolloutPhase.ACTIVE, RolloutPhase.RETREATING)
 
 
 def directives_from(settings: RolloutSettings) -> Directives:
-    """Return what the operators' settings ask for."""
+    """Convert the operators' settings to directives for the state machine."""
     return Directives(
         soak_ms=int(settings.soak_s * MS_PER_SECOND),
         hold_at=None if settings.hold_at is None else RolloutPhase(settings.hold_at),
         excused=frozenset(NodeId(name) for name in settings.excused),
-        newest=NEWEST_VERSION if settings.goal is None else settings.goal,
+        goal=NEWEST_VERSION if settings.goal is None else settings.goal,
     )
 
 
 class Deployment(Struct, frozen=True):
-    """The controllers of the cluster, and the number of changes that one transaction can make."""
+    """The configured controllers, and the maximum number of changes in one transaction of the store."""
 
     controllers: frozenset[NodeId]
     txn_ops: int
 
 
 class RolloutDriver:
-    """Takes the steps of a rollout; does nothing while another controller leads."""
+    """Decides and commits the steps of a rollout; idle while another controller is the leader."""
 
     def __init__(
         self,
@@ -78,40 +78,46 @@
         self._commits = StepCommits(watch_cache, committed, deployment.txn_ops)
 
     async def reconcile(self) -> None:
-        """Take the next step, if this controller leads and there is one. Called often; acts once in POLL_INTERVAL_S."""
-        leader = self._controller_lease.leadership_revision()
-        if leader is None:
+        """Commit the next step, if this controller is the leader and a step is due.
+
+        May be called more often than every POLL_INTERVAL_S; extra calls do nothing while staged rollouts are enabled.
+        """
+        leadership_revision = self._controller_lease.leadership_revision()
+        if leadership_revision is None:
             return
         if not self._settings.enabled:
-            await self._announce(leader)
+            await self._announce_newest_version(leadership_revision)
             return
         now = self._clock.monotonic()
         if now < self._next_poll_at:
             return
         self._next_poll_at = MonotonicTime(now + POLL_INTERVAL_S)
-        await self._advance(leader)
+        await self._advance(leadership_revision)
+
+    async def _announce_newest_version(self, leadership_revision: ModRevision) -> None:
+        """Announce the newest version permanently once every controller can read it.
 
-    async def _announce(self, leader: ModRevision) -> None:
-        """Announce the newest version, for good, once every controller reads it. Used without staged rollouts."""
+        This replaces staged rollouts where they are disabled.
+        """
         if self._committed.announced() >= NEWEST_VERSION or self._watch_cache.mod_revision_or_unreadable(keys.ROLLOUT):
             return
         if keys.FORMAT in self._watch_cache.unreadable:
             return
         nodes = self._watch_cache.list_records(keys.NODES, NodeRecord)
-        able = {
+        compatible = {
             NodeId(name): mod_revision
             for name, (record, mod_revision) in nodes.items()
             if record.is_live() and record.format >= NEWEST_VERSION
         }
-        if len(able) < len(self._deployment.controllers):
+        if len(compatible) < len(self._deployment.controllers):
             return
-        if await self._commit(self._commits.announcement(leader, NEWEST_VERSION, able)):
-            log.info("all %d controllers read format version %d", len(able), NEWEST_VERSION)
+        if await self._commit(self._commits.announcement(leadership_revision, NEWEST_VERSION, compatible)):
+            log.info("all %d controllers read format version %d", len(compatible), NEWEST_VERSION)
 
-    async def _advance(self, leader: ModRevision) -> None:
+    async def _advance(self, leadership_revision: ModRevision) -> None:
         unreadable = self._committed.unreadable_keys()
         if unreadable:
-            self._log_waiting(tuple(f"{key} can't be read: the version stays as it is" for key in unreadable))
+            self._log_waiting(tuple(f"{key} can't be read: the cluster version stays unchanged" for key in unreadable))
             return
         current = self._committed.current()
         facts = observe(
@@ -123,29 +129,32 @@
             now=self._clock.wall_ms(),
         )
         outcome = steps.next_step(current, facts, self._directives)
-        excuses = steps.refused_excuses(facts, self._directives)
+        warnings = steps.ignored_excuse_warnings(facts, self._directives)
         if isinstance(outcome, Step):
-            self._log_waiting(excuses)
-            await self._take(leader, current, outcome)
+            self._log_waiting(warnings)
+            await self._commit_step(leadership_revision, current, outcome)
         else:
-            self._log_waiting(excuses + outcome.reasons)
+            self._log_waiting(warnings + outcome.reasons)
 
     def _rewrite_records(self, current: RolloutRecord, since: ModRevision) -> int | None:
-        """Stage rewrites of some records and return the number still to rewrite; None where it is not known yet."""
-        if current.phase not in REWRITING_PHASES:
+        """Stage rewrites of some records and return the number of records still to rewrite.
+
+        The number is None until the watch cache has reached `since`, the revision of the phase's commit.
+        """
+        if current.phase not in MIGRATION_PHASES:
             return 0
         if not self._watch_cache.loaded or self._watch_cache.revision < since:
             return None
         remaining = self._migration.remaining(current, since)
         if self._settings.hold_at != RolloutPhase.ACTIVE.value or current.phase is RolloutPhase.RETREATING:
             self._migration.stage_rewrites(remaining, since)
-        stuck = self._migration.stuck(remaining, since)
-        if stuck:
-            log.debug("rollout: %s fit in their shape only", ", ".join(stuck))
+        unconvertible = self._migration.unconvertible(remaining, since)
+        if unconvertible:
+            log.debug("rollout: the records of %s fit only in their stored shape", ", ".join(unconvertible))
         return len(remaining)
 
-    async def _take(self, leader: ModRevision, current: RolloutRecord, step: Step) -> None:
-        if not await self._commit(self._commits.commit(leader, step)):
+    async def _commit_step(self, leadership_revision: ModRevision, current: RolloutRecord, step: Step) -> None:
+        if not await self._commit(self._commits.commit(leadership_revision, step)):
             return
         log.info(
             "rollout: %s -> %s, version %d: %s",
@@ -156,16 +165,16 @@
         )
 
     async def _commit(self, transaction: Transaction) -> bool:
-        """Return whether the transaction is known to be committed."""
+        """Return whether the transaction is known to be committed; False also if its outcome is unknown."""
         try:
             response = await self._queue.commit(transaction, TransactionPriority.LEASE, once=True)
         except StoreError as err:
-            log.debug("rollout: %s", err)
+            log.debug("rollout: the transaction is not confirmed: %s", err)
             return False
         return not response.conflicts
 
     def _log_waiting(self, reasons: tuple[str, ...]) -> None:
-        """Log the reasons for waiting when they change."""
+        """Log the reasons for waiting if they differ from those logged last."""
         if reasons and reasons != self._logged_reasons:
             log.info("rollout: waiting: %s", "; ".join(reasons))
         self._logged_reasons = reasons
--- a/src/cloverplank/rollout/migration.py
+++ b/src/cloverplank/rollout/migration.py
@@ -1,4 +1,4 @@
-"""Rewrites job records whose stored shape is not the one that the committed version asks for."""
+"""Migrates job records to the stored shape that the committed version requires."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.records.rollout import RolloutPhase, RolloutRecord
 
-MAX_CONCURRENT_REWRITES = 4  # leaves the key-value store's rate to other work
-MAX_NAMED_JOBS = 5
+MAX_CONCURRENT_REWRITES = 4  # keeps the key-value store's request rate available to other work
+MAX_REPORTED_JOBS = 5
 
 
-def _unchanged(record: JobRecord) -> JobRecord:
-    """Return the record as it is: the commit of this change stores it in the shape that is asked for."""
+def _identity(record: JobRecord) -> JobRecord:
+    """Return the record unchanged; committing this no-op change stores the record in the required shape."""
     return record
 
 
 class Migration:
-    """Counts the records to rewrite, and stages rewrites a few at a time."""
+    """Finds the records to rewrite and stages at most MAX_CONCURRENT_REWRITES rewrites at a time."""
 
     def __init__(
         self, watch_cache: WatchCache, queue: TransactionQueue, clock: Clock, size_limits: RecordSizeLimits
@@ -36,11 +36,12 @@
         self._staged: dict[JobId, PendingChange] = {}
 
     def remaining(self, current: RolloutRecord, since: ModRevision) -> list[CachedJob]:
-        """Return the jobs whose records are to be rewritten; `since` is the revision of the phase's commit."""
+        """Return the jobs whose records must be rewritten; `since` is the revision of the phase's commit."""
         if current.phase is RolloutPhase.ACTIVE:
-            return list(self._in_other_shape())
+            return list(self._jobs_in_other_shape())
         if current.phase is RolloutPhase.RETREATING:
-            # Rewriting a plain record, too, makes late writes of programs that don't follow rollouts fail.
+            # Plain records are rewritten, too: the new mod revision makes delayed writes of programs that don't follow
+            # rollouts fail.
             return [
                 job
                 for job in self._watch_cache.store.jobs.values()
@@ -48,30 +49,33 @@
             ]
         return []
 
-    def _in_other_shape(self) -> Iterator[CachedJob]:
+    def _jobs_in_other_shape(self) -> Iterator[CachedJob]:
+        """Yield the jobs whose records are stored in another shape than the required one."""
         for job in self._watch_cache.store.jobs.values():
-            wanted = self._size_limits.shape(job.record)
-            if wanted is not (Shape.COMPACT if self._is_compact(job) else Shape.PLAIN):
+            required_shape = self._size_limits.shape(job.record)
+            if required_shape is not (Shape.COMPACT if self._is_compact(job) else Shape.PLAIN):
                 yield job
 
     def stage_rewrites(self, remaining: list[CachedJob], since: ModRevision) -> None:
-        """Stage rewrites of some of the jobs' records."""
-        self._staged = {job_id: change for job_id, change in self._staged.items() if self._is_pending(job_id, change)}
+        """Stage rewrites of the given jobs' records, up to MAX_CONCURRENT_REWRITES at the same time."""
+        self._staged = {
+            job_id: change for job_id, change in self._staged.items() if self._is_change_pending(job_id, change)
+        }
         for job in remaining:
             if len(self._staged) >= MAX_CONCURRENT_REWRITES:
                 break
             if job.pending or job.in_flight or not self._can_be_rewritten(job, since):
                 continue
-            change = PendingChange(_unchanged, TransactionPriority.MIGRATE, self._clock.monotonic())
+            change = PendingChange(_identity, TransactionPriority.MIGRATE, self._clock.monotonic())
             self._staged[job.id] = change
             self._queue.stage(job, change)
 
-    def _is_pending(self, job_id: JobId, change: PendingChange) -> bool:
+    def _is_change_pending(self, job_id: JobId, change: PendingChange) -> bool:
         job = self._watch_cache.store.get(job_id)
         return job is not None and any(other is change for other in job.pending)
 
     def _can_be_rewritten(self, job: CachedJob, since: ModRevision) -> bool:
-        """Return whether a rewrite changes anything: not for a record that fits in its present shape only."""
+        """Return whether a rewrite has an effect; it has none on a record that fits only in its stored shape."""
         return (
             job.mod_revision < since
             or self._size_limits.shape(job.record) is not Shape.COMPACT
@@ -81,6 +85,6 @@
     def _is_compact(self, job: CachedJob) -> bool:
         return job.id in self._watch_cache.compact_jobs
 
-    def stuck(self, remaining: list[CachedJob], since: ModRevision) -> list[JobId]:
-        """Return some of the jobs whose records fit in their present shape only."""
-        return [job.id for job in remaining if not self._can_be_rewritten(job, since)][:MAX_NAMED_JOBS]
+    def unconvertible(self, remaining: list[CachedJob], since: ModRevision) -> list[JobId]:
+        """Return up to MAX_REPORTED_JOBS jobs whose records fit only in their stored shape."""
+        return [job.id for job in remaining if not self._can_be_rewritten(job, since)][:MAX_REPORTED_JOBS]
--- a/src/cloverplank/rollout/observation.py
+++ b/src/cloverplank/rollout/observation.py
@@ -1,4 +1,4 @@
-"""The facts of a rollout, as the leader's watch cache shows them."""
+"""Collects the facts for the state machine of a rollout from the leader's watch cache."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from cloverplank.records.cluster import NodeRecord
 from cloverplank.rollout.commits import StepLimits
 from cloverplank.rollout.committed import CommittedRollout
-from cloverplank.rollout.steps import Controller, Facts
+from cloverplank.rollout.steps import Facts, LiveController
 
 
 def observe(
@@ -20,23 +20,23 @@
     records_to_rewrite: int | None,
     now: WallTimeMs,
 ) -> Facts:
-    """Return what the next step is decided on; `configured` names every controller of the deployment."""
-    controllers: dict[NodeId, Controller] = {}
+    """Collect the facts on which the next step is decided; `configured` names every controller of the deployment."""
+    controllers: dict[NodeId, LiveController] = {}
     barred: dict[NodeId, ModRevision] = {}
     for name, (record, mod_revision) in watch_cache.list_records(keys.NODES, NodeRecord).items():
         if record.is_live():
-            controllers[NodeId(name)] = Controller(mod_revision, record.format, record.lowest, record.goal)
+            controllers[NodeId(name)] = LiveController(mod_revision, record.format, record.lowest, record.goal)
         else:
             barred[NodeId(name)] = mod_revision
     return Facts(
         configured=configured,
         controllers=controllers,
         unreadable=tuple(sorted(key for key in watch_cache.unreadable if key.startswith(keys.NODES))),
-        announced=committed.announced(),
+        announced_version=committed.announced(),
         now=now,
         records_to_rewrite=records_to_rewrite,
-        max_unchanged=limits.max_unchanged,
-        max_barred=limits.max_barred,
-        mod_revision=committed.mod_revision(),
+        max_compared_controllers=limits.max_compared_controllers,
+        max_barred_controllers=limits.max_barred_controllers,
+        rollout_mod_revision=committed.mod_revision(),
         barred=barred,
     )
--- a/src/cloverplank/rollout/status.py
+++ b/src/cloverplank/rollout/status.py
@@ -1,4 +1,4 @@
-"""The state of a rollout as operators see it, made from committed keys alone."""
+"""The status of a rollout for operators, derived from committed keys only."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 
 class ControllerStatus(Struct, frozen=True):
-    """What one configured or joined controller has committed.
+    """The committed state of one controller that is configured or has joined.
 
-    `lowest` is None for a program that does not follow rollouts, `goal` where staged rollouts are switched off.
+    `lowest` and `newest` bound the versions that its program reads. `lowest` is None for a program that does not follow
+    rollouts; `goal` is None if staged rollouts are disabled.
     """
 
     name: str
@@ -35,7 +36,7 @@
 
 
 class RolloutStatus(Status, frozen=True):
-    """The whole status; `unreadable` names keys whose values are no records."""
+    """The status of a rollout; `unreadable` lists the keys whose values can't be decoded as records."""
 
     version: int
     target: int
@@ -50,7 +51,7 @@
     unreadable: list[str]
 
     def as_text(self) -> str:
-        """Return the status in lines: rollout, controllers, reasons, unreadable keys and features."""
+        """Format the status as lines: rollout, controllers, reasons for waiting, unreadable keys and features."""
         lines = [
             f"phase: {self.phase.value}",
             f"version: {self.version}, target {self.target}, announced {self.announced}; "
@@ -74,7 +75,7 @@
 
 
 class _CommittedKeys:
-    """The records that the status is made from; keys that can't be read are noted."""
+    """Decodes the committed values for the status, and collects the keys that can't be decoded."""
 
     def __init__(self, key_values: Iterable[KeyValue]) -> None:
         self.unreadable: list[str] = []
@@ -100,7 +101,7 @@
 
 
 def status_of(key_values: list[KeyValue], configured: frozenset[str]) -> RolloutStatus:
-    """Return the status that the committed keys show; `configured` names the deployment's controllers."""
+    """Derive the status from the committed keys; `configured` names the deployment's controllers."""
     committed = _CommittedKeys(key_values)
     current = committed.rollout or initial_record(committed.announced)
     controllers = [
@@ -131,18 +132,18 @@
 
 
 def _waiting_for(current: RolloutRecord, controllers: list[ControllerStatus]) -> list[str]:
-    """Return what keeps the phase from ending, as far as committed keys show."""
+    """Return the reasons why the phase can't end yet, as far as the committed keys show."""
     target = current.target
     if current.phase is RolloutPhase.FINALIZED:
         target = min(current.version + 1, NEWEST_VERSION)
         if target == current.version:
             return []
-    reasons = (_obstacle(controller, target) for controller in controllers)
+    reasons = (_blocking_reason(controller, target) for controller in controllers)
     return [reason for reason in reasons if reason is not None]
 
 
-def _obstacle(controller: ControllerStatus, target: int) -> str | None:
-    """Return why the controller keeps the rollout from its target, or None where it does not."""
+def _blocking_reason(controller: ControllerStatus, target: int) -> str | None:
+    """Return the reason why the controller blocks the rollout to the target, or None if it does not."""
     if not controller.present:
         return None if controller.excused else f"{controller.name}: not there"
     if controller.lowest is None:
@@ -155,7 +156,7 @@
 
 
 def read_status(platform: PlatformSettings) -> RolloutStatus:
-    """Read the status from the key-value store. Raises StoreError where it doesn't respond."""
-    # All keys but the final records, which hold no gated shape.
+    """Read the status from the key-value store. Raises StoreError if the store does not respond."""
+    # Final records are left out: they are never stored in a gated shape.
     prefixes = (keys.FORMAT, keys.ROLLOUT, keys.NODES, keys.JOBS)
     return status_of(read_key_values(platform, prefixes), platform.controllers())
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -104,8 +104,8 @@
 
 def test_check_detects_an_activation_that_waits_for_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
     """The version is raised while a controller runs production's version."""
-    monkeypatch.setattr("cloverplank.rollout.steps.obstacles", lambda facts, directives, versions: ())
-    monkeypatch.setattr("cloverplank.rollout.steps._goal_reasons", lambda facts, agrees, wanted: ())
+    monkeypatch.setattr("cloverplank.rollout.steps.blocking_reasons", lambda facts, directives, versions: ())
+    monkeypatch.setattr("cloverplank.rollout.steps._goal_conflicts", lambda facts, is_acceptable, required: ())
 
     async def scenario(world: World) -> None:
         await upgrade(world, ("c-0",))
