--- a/src/cloverplank/controller/builders.py
+++ b/src/cloverplank/controller/builders.py
@@ -1,4 +1,4 @@
-"""Parts of a controller that are built from its environment and its access to the store alone."""
+"""Builders for parts of a controller that need only its environment, its store access and its machine registry."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     machine_types: Callable[[], dict[str, MachineType]],
     cancelled: Callable[[JobId], None],
 ) -> Users:
-    """Build the users' interface. `cancelled` is called after a cancellation was committed."""
+    """Build the handlers of the users' API. `cancelled` is called with the job after a cancellation was committed."""
     facts = environment.platform.facts
     job_access = JobAccess(
         clock=environment.clock,
@@ -50,7 +50,7 @@
 
 
 def build_zone_watch(environment: Environment, access: StoreAccess, registry: MachineRegistry) -> ZoneWatch:
-    """Build what judges the zones of the deployment, from the machines in the registry."""
+    """Build the watch of the deployment's zones, which derives their health from the machines in the registry."""
     observer = ZoneObserver(
         environment.zones,
         controller_zones=environment.controller_zones(),
@@ -71,7 +71,7 @@
 
 
 def build_rollout(environment: Environment, access: StoreAccess) -> RolloutDriver:
-    """Build what moves the cluster version."""
+    """Build the driver of staged rollouts, which changes the cluster version."""
     controllers = frozenset(NodeId(name) for name in environment.platform.controllers())
     return RolloutDriver(
         Deployment(controllers, environment.store_limits.txn_ops),
@@ -86,7 +86,11 @@
 
 
 def zone_has_workers(gossip: PeerGossip, registry: MachineRegistry, jobs: JobStore) -> Callable[[Zone], bool]:
-    """Return the test of whether a zone has workers: heard here or by a peer, or with tasks by committed records."""
+    """Return a predicate that tells whether a zone has workers.
+
+    A zone has workers if this controller or a peer has received a heartbeat from one of its machines, or if committed
+    records place tasks there.
+    """
 
     def has_workers(zone: Zone) -> bool:
         return (
--- a/src/cloverplank/controller/composition.py
+++ b/src/cloverplank/controller/composition.py
@@ -1,4 +1,4 @@
-"""The composition root: which parts a controller has, and who is built from what."""
+"""The composition root: builds the parts of a controller and connects them."""
 
 from __future__ import annotations
 
@@ -41,7 +41,10 @@
 
 
 class Controller:
-    """All parts of one controller. Parts hear of changes through the methods that are passed to them here."""
+    """One controller with all its parts.
+
+    Parts notify each other of changes through the callbacks that are passed to them here.
+    """
 
     def __init__(
         self,
@@ -64,15 +67,15 @@
         self._build_serving()
         self._build_loops()
 
-    # -- building
+    # -- construction
 
     def _build_store_access(self) -> None:
-        """Client, cache, queue and lease: everything that talks to the key-value store."""
+        """Build the parts that access the key-value store: client, watch cache, transaction queue and lease."""
         environment = self._environment
         self._access = access = build_store_access(
             environment,
             StoreListeners(
-                job_changed=self._job_changed,
+                job_changed=self._on_job_changed,
                 key_changed=self._key_changed,
                 complete_until=self._complete_until,
                 lease_changed=self.request_cycle,
@@ -86,7 +89,7 @@
         self.controller_lease = access.controller_lease
 
     def _build_machines(self) -> None:
-        """Registry, cloud client and machine types, headroom and objectives."""
+        """Build the machine registry, cloud client, machine type catalog, headroom and objectives."""
         environment = self._environment
         operator, facts = environment.operator, environment.platform.facts
         self._cloud = CloudClient(
@@ -126,7 +129,7 @@
             clock=environment.clock,
             controller_lease=self.controller_lease,
             watch_cache=self.watch_cache,
-            workers_of=self._workers_of,
+            workers_of=self._count_workers,
             broadcast=self._broadcast,
         )
         self.gossip = PeerGossip(
@@ -282,13 +285,13 @@
             may_start=lambda: self.controller_lease.check() is LeaseState.ACTIVE and zone in self.shards,
         )
 
-    # -- what parts are told
+    # -- callbacks of the parts
 
     def request_cycle(self) -> None:
-        """There is news for the next scheduling cycle."""
+        """Request a scheduling cycle after a change of the state."""
         self.scheduling_loop.request()
 
-    def _job_changed(self, view: CachedJob | None, job: JobId) -> None:
+    def _on_job_changed(self, view: CachedJob | None, job: JobId) -> None:
         if view is not None:
             self.headroom.observe(view.record)
             for shard in self.shards.values():
@@ -300,7 +303,7 @@
         if key == keys.LEADER:
             self.gossip.introduce()
         elif key == keys.TYPES:
-            self._machine_types.read_stored()
+            self._machine_types.load_stored_copy()
         elif is_drain_key(key):
             for name in self._draining.apply_change(key):
                 self.registry.remove_terminated(name)
@@ -314,15 +317,15 @@
     def _broadcast(self) -> None:
         self.gossip.broadcast()
 
-    def _workers_of(self, zone: Zone, since: MonotonicTime) -> WorkerCounts:
-        """Workers of a zone that were up lately, and those that have sent a heartbeat here since then."""
-        known = sum(one.zone == zone and one.heard_at is not None for one in self.registry.entries.values())
+    def _count_workers(self, zone: Zone, since: MonotonicTime) -> WorkerCounts:
+        """Count the zone's workers that were up recently, and those that have sent a heartbeat here since `since`."""
+        known = sum(entry.zone == zone and entry.heard_at is not None for entry in self.registry.entries.values())
         return WorkerCounts(known, self.gossip.count_workers_heard(zone, since))
 
-    # -- running
+    # -- operation
 
     def cache_sizes(self) -> dict[str, int]:
-        """Return the number of entries of each cache, by its name."""
+        """Return the number of entries in each cache, by the cache's name."""
         return {
             "jobs": len(self.store.jobs),
             "blocked jobs": len(self.watch_cache.blocked.jobs),
@@ -334,7 +337,7 @@
         }
 
     async def run(self) -> None:
-        """Run every loop until one of them fails or the task is cancelled."""
+        """Run all background loops until one of them fails or the task is cancelled."""
         meter = self._environment.meter
         async with asyncio.TaskGroup() as loops:
             for loop in (
--- a/src/cloverplank/controller/environment.py
+++ b/src/cloverplank/controller/environment.py
@@ -1,4 +1,4 @@
-"""What a controller is built from: settings, clock, network, randomness, and what follows from the settings."""
+"""The inputs of a controller: settings, clock, network and randomness, and values derived from the settings."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from cloverplank.shard.shard_types import ShardLimits
 
 BYTES_PER_KB = 1024
-MAX_HEADROOM_WAIT_S = 10.0  # classes that may wait longer need no headroom: a machine boots in the meantime
+MAX_HEADROOM_WAIT_S = 10.0  # classes with a longer target wait need no headroom: a machine can boot within that time
 
 
 @dataclass(frozen=True, kw_only=True)
 class Environment:
-    """Where settings, clock, network and randomness come in."""
+    """The external inputs of a controller, and values derived from its settings."""
 
     platform: PlatformSettings
     operator: OperatorSettings
@@ -53,13 +53,14 @@
 
     @property
     def store_limits(self) -> StateLimits:
-        """Limits of the store that hold now and after a coming change."""
+        """The limits of the store that are valid both now and after an announced change."""
         return self.platform.facts.state.lowest()
 
     def lease_times(self) -> LeaseTimes:
-        """Return the times of this controller's lease.
+        """Return the durations of this controller's lease.
 
-        The lease is no longer than the grace period: one that is good by the clock would lift that bound.
+        The lease is at most as long as the grace period, which bounds the time without contact to the store: a lease
+        that is still valid by the local clock would otherwise extend that bound.
         """
         workers = self.platform.facts.workers
         operator = self.operator
@@ -69,14 +70,14 @@
         return LeaseTimes(lease_s=min(operator.controller_lease_s, grace_s), grace_s=grace_s)
 
     def rollout_goal(self) -> int | None:
-        """Return the cluster version that the operators want; None where staged rollouts are switched off."""
+        """Return the cluster version requested by the operators, or None if staged rollouts are disabled."""
         settings = self.operator.rollout
         if not settings.enabled:
             return None
         return NEWEST_VERSION if settings.goal is None else settings.goal
 
     def record_size_limits(self, committed: CommittedRollout) -> RecordSizeLimits:
-        """Return the sizes that stored values may have now, and after a coming change of the limits."""
+        """Return the size limits of stored values, now and after an announced change of the store's limits."""
         return RecordSizeLimits(
             int(self.platform.facts.state.value_kb * BYTES_PER_KB),
             int(self.store_limits.value_kb * BYTES_PER_KB),
@@ -85,7 +86,7 @@
         )
 
     def classes_with_headroom(self) -> set[str]:
-        """Return the classes of jobs that should start at once."""
+        """Return the job classes whose target wait is at most MAX_HEADROOM_WAIT_S."""
         return {
             objective.job_class
             for objective in self.platform.facts.objectives
@@ -93,7 +94,7 @@
         }
 
     def finish_within_s(self) -> dict[str, list[float]]:
-        """Return the seconds within which jobs should be finished, by class."""
+        """Return the target times in seconds for finishing jobs, by job class."""
         within_s: dict[str, list[float]] = {}
         for objective in self.platform.facts.objectives:
             if objective.kind == "finished" and objective.within_s > 0:
@@ -106,7 +107,7 @@
         return {self.node_id: self.zone, **zones}
 
     def shard_limits(self, size_limits: RecordSizeLimits) -> ShardLimits:
-        """Return the times and amounts that a shard owner keeps to."""
+        """Return the time, size and rate limits for a shard owner."""
         workers, operator = self.platform.facts.workers, self.operator
         interval_s = workers.heartbeat_interval_s
         return ShardLimits(
--- a/src/cloverplank/controller/machine_types.py
+++ b/src/cloverplank/controller/machine_types.py
@@ -1,4 +1,4 @@
-"""The machine types that the cloud offers."""
+"""The catalog of machine types offered by the cloud."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 log = logging.getLogger(__name__)
 
 REFRESH_INTERVAL_S = 60.0
-FOLLOWER_RETRY_S = 5.0  # a controller that is not the leader soon reads what the leader has stored
+FOLLOWER_RETRY_S = 5.0  # a follower soon receives the copy that the leader has stored
 FAILED_RETRY_S = 2.0
-EMPTY_RETRY_S = 1.0  # without machine types the controller is not ready
+EMPTY_RETRY_S = 1.0  # short, since the controller is not ready without machine types
 
 
 class MachineTypeCatalog:
-    """Machine types by name, from the cloud or from the copy that the leader keeps in the store."""
+    """Caches the machine types by name, from the cloud or from the copy that the leader stores."""
 
     def __init__(
         self,
@@ -43,14 +43,17 @@
         """Return the machine types by name; empty until they are known."""
         return self._types
 
-    def read_stored(self) -> None:
-        """Take the stored copy, which has changed."""
-        found = self._watch_cache.get(keys.TYPES, MachineTypes)
-        if found is not None:
-            self._keep(found.record)
+    def load_stored_copy(self) -> None:
+        """Load the stored copy; called after the copy has changed."""
+        stored = self._watch_cache.get(keys.TYPES, MachineTypes)
+        if stored is not None:
+            self._set_types(stored.record)
 
     async def run(self) -> None:
-        """Refresh the catalog forever: the leader from the cloud, others as long as they know no types."""
+        """Refresh the catalog from the cloud until the task is cancelled.
+
+        The leader refreshes regularly, other controllers only while their catalog is empty.
+        """
         while True:
             pause_s = REFRESH_INTERVAL_S
             try:
@@ -61,22 +64,22 @@
             await asyncio.sleep(pause_s if self._types else min(pause_s, EMPTY_RETRY_S))
 
     async def _refresh(self) -> float:
-        """Return the seconds until the next refresh."""
+        """Refresh the catalog if needed; return the seconds until the next refresh."""
         if self._types and self._controller_lease.leadership_revision() is None:
             return REFRESH_INTERVAL_S
         offered = await self._cloud.types()
         if not offered.types:
             return REFRESH_INTERVAL_S
-        self._keep(offered)
+        self._set_types(offered)
         if self._controller_lease.leadership_revision() is None:
             return FOLLOWER_RETRY_S
-        await self._store(offered)
+        await self._store_copy(offered)
         return REFRESH_INTERVAL_S
 
-    async def _store(self, offered: MachineTypes) -> None:
-        """Keep a copy for controllers that start while the cloud is down."""
+    async def _store_copy(self, offered: MachineTypes) -> None:
+        """Store a copy for controllers that start while the cloud is unavailable."""
         unchanged = Compare(keys.TYPES, self._watch_cache.mod_revision(keys.TYPES))
         await self._queue.commit(Transaction([unchanged], [Put(keys.TYPES, offered)]), TransactionPriority.DONE)
 
-    def _keep(self, offered: MachineTypes) -> None:
+    def _set_types(self, offered: MachineTypes) -> None:
         self._types = {machine_type.name: machine_type for machine_type in offered.types}
--- a/src/cloverplank/controller/reconcile_loop.py
+++ b/src/cloverplank/controller/reconcile_loop.py
@@ -1,4 +1,4 @@
-"""The reconcile loop: leadership, shard assignment, rollouts, zones, handovers and the tokens of owned shards."""
+"""The reconcile loop for leadership, shard assignment, rollouts, zones, handovers and the tokens of owned shards."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 log = logging.getLogger(__name__)
 
-INTERVAL_S = 0.1
-JITTER_S = 0.05
-HEALTHY_PEER_S = 3.0  # a message not older than this says that a peer is healthy
+RECONCILE_INTERVAL_S = 0.1
+MAX_JITTER_S = 0.05
+HEALTHY_PEER_MESSAGE_AGE_S = 3.0  # a peer counts as healthy only if its last message is at most this old
 
 
 class ReconcileLoop:
-    """Compares the committed state with what should be, again and again, and acts on the difference."""
+    """Periodically compares the committed state with the desired state and reconciles the difference."""
 
     def __init__(
         self,
@@ -52,15 +52,15 @@
         self._rate_allocator = rate_allocator
 
     async def run(self) -> None:
-        """Reconcile forever."""
+        """Reconcile periodically until the task is cancelled."""
         while True:
             try:
                 if self._watch_cache.loaded:
                     await self._reconcile()
                 self._rate_allocator.update()
-            except Exception:  # the loop outlives a fault in any of its parts
-                log.exception("reconciling failed")
-            await asyncio.sleep(INTERVAL_S + JITTER_S * self._rng.random())
+            except Exception:  # a fault in one part must not end the loop
+                log.exception("reconciling failed, retrying in the next interval")
+            await asyncio.sleep(RECONCILE_INTERVAL_S + MAX_JITTER_S * self._rng.random())
 
     async def _reconcile(self) -> None:
         await self._controller_lease.campaign()
@@ -72,5 +72,5 @@
             await self._owned.reconcile(shard, peers_are_healthy=self._peers_are_healthy())
 
     def _peers_are_healthy(self) -> bool:
-        messages = self._gossip.all_latest(HEALTHY_PEER_S).values()
+        messages = self._gossip.all_latest(HEALTHY_PEER_MESSAGE_AGE_S).values()
         return any(message.store_available and not message.declines_assignments for message in messages)
--- a/src/cloverplank/controller/routing.py
+++ b/src/cloverplank/controller/routing.py
@@ -1,4 +1,4 @@
-"""Routing of HTTP requests to the parts that serve them."""
+"""Routes HTTP requests to the handlers of users, workers, health checks and peers."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from cloverplank.wire.workers import HEARTBEAT_PATH
 
 READY_PATH = "/ready"
-STORE_OUTAGE_S = 2.5  # without a response of the store for this long, readiness depends on what peers say of it
+STORE_OUTAGE_S = 2.5  # if the store has not responded for this long, readiness depends on whether peers reach it
 
 
 class Router:
-    """Serves the front, for users, workers and health checks, and the listener for peers."""
+    """Serves the front listener, for users, workers and health checks, and the peer listener."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._gossip = gossip
 
     async def front(self, request: Request) -> Response:
-        """Return the response to a user, a worker or a health check."""
+        """Handle a request of a user, a worker or a health check."""
         path = request.path
         if path == HEARTBEAT_PATH:
             return self._heartbeat(request)
@@ -56,11 +56,15 @@
         return no_such_path()
 
     async def peer(self, request: Request) -> Response:
-        """Return the response to another controller."""
+        """Handle a request of another controller."""
         return await self._meter.metered(Part.GOSSIP, self._gossip.handle(request))
 
     def ready(self) -> bool:
-        """Whether requests can be served. In an outage of the store for everybody no other controller could either."""
+        """Return whether this controller can serve requests.
+
+        While the store does not respond, the controller is ready only if it has messages of peers and none of them
+        reaches the store: no other controller could serve the requests either.
+        """
         if not self._machine_types.current() or not self._watch_cache.loaded:
             return False
         if self._controller_lease.fence.refusal() is not None:
--- a/src/cloverplank/controller/scheduling_cycle.py
+++ b/src/cloverplank/controller/scheduling_cycle.py
@@ -1,4 +1,4 @@
-"""One scheduling cycle: what the leader and the shard owners decide over everything that they know."""
+"""One scheduling cycle: the decisions of the leader and of the shard owners about the whole queue of jobs."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from cloverplank.shard.owned_shards import OwnedShards
 from cloverplank.zones.watch import ZoneWatch
 
-# Between two updates of the owned machines in the registry, on the leader and on others.
+# Minimum intervals between two updates of the owned shards' machines in the registry, on the leader and on followers.
 LEADER_REGISTRY_INTERVAL_S = 0.5
-REGISTRY_INTERVAL_S = 1.0
+FOLLOWER_REGISTRY_INTERVAL_S = 1.0
 
 
 class JobQueue:
-    """The open jobs in scheduling order."""
+    """Lists the open jobs in scheduling order."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._max_cpus = {team.name: team.cpus_max for team in teams}
 
     def in_order(self) -> list[QueuedJob]:
-        """Return every open job that no peer says was cancelled."""
+        """Return the open jobs in scheduling order, without those that a peer reports as cancelled."""
         now = self._clock.wall_ms()
         store = self._store
         queued_jobs = scheduling_order(
@@ -66,7 +66,7 @@
 
 
 class SchedulingCycle:
-    """Runs the leader and the owned shards, one after another."""
+    """Runs the leader's cycle and then the placement of each owned shard."""
 
     def __init__(
         self,
@@ -95,9 +95,9 @@
         self._registry_updated_at = NEVER
 
     def steps(self, *, changed: bool) -> Iterator[None]:
-        """Run one cycle in steps, between which requests are served. Each step sees the state as it is by then.
+        """Run one cycle in steps, so that requests can be served in between; each step uses the state at its start.
 
-        Without `changed` only clocks are looked at.
+        If `changed` is false, only time-outs are checked.
         """
         shards = self._owned.shards
         self._owned.update()
@@ -127,12 +127,13 @@
         return self._controller_lease.leadership_revision() is not None
 
     def _update_registry(self) -> None:
-        """Enter the machines of the owned shards, as gossip would for those of a peer."""
+        """Update the machines of the owned shards in the registry, as gossip does for a peer's machines."""
         now = self._clock.monotonic()
-        # Every shard is asked, since asking clears the mark. A lost machine is entered at once: the leader releases it.
-        lost_some = any([shard.take_newly_lost() for shard in self._owned.shards.values()])
-        interval_s = LEADER_REGISTRY_INTERVAL_S if self._is_leader() else REGISTRY_INTERVAL_S
-        if not lost_some and now - self._registry_updated_at < interval_s:
+        # Evaluated for every shard, since the call clears the shard's flag. A lost machine is reported without waiting
+        # for the interval, so that the leader can release it.
+        any_newly_lost = any([shard.take_newly_lost() for shard in self._owned.shards.values()])
+        interval_s = LEADER_REGISTRY_INTERVAL_S if self._is_leader() else FOLLOWER_REGISTRY_INTERVAL_S
+        if not any_newly_lost and now - self._registry_updated_at < interval_s:
             return
         self._registry_updated_at = now
         for message in self._owned.machine_gossip():
--- a/src/cloverplank/controller/store_access.py
+++ b/src/cloverplank/controller/store_access.py
@@ -1,4 +1,4 @@
-"""Everything of a controller that talks to the key-value store."""
+"""The parts of a controller that access the key-value store."""
 
 from __future__ import annotations
 
@@ -19,13 +19,16 @@
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.rollout.fence import CommittedVersionFence
 
-MIN_BURST = 6.0  # changes that a controller with a small rate may make at once: jobs of one DAG come together
-WATCH_TIMEOUT_LEASES = 0.375  # of the controller's lease, for which a watch without news waits at most
+MIN_WRITE_BURST = 6.0  # changes allowed at once even at a low rate: the jobs of a DAG are submitted together
+WATCH_TIMEOUT_LEASE_FRACTION = 0.375  # upper bound of a watch request's timeout, relative to the lease duration
 
 
 @dataclass(frozen=True, kw_only=True)
 class StoreListeners:
-    """Who hears of changes, and the moment before which every committed change is in the cache."""
+    """Callbacks for changes of jobs, keys and the lease.
+
+    `complete_until` returns the time before which every committed change is in the watch cache.
+    """
 
     job_changed: Callable[[CachedJob | None, JobId], None]
     key_changed: Callable[[str], None]
@@ -35,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StoreAccess:
-    """The ways to the store: lease, reads, the cache with the open jobs, and the queue that all changes go through."""
+    """Access to the store: client, watch cache with the open jobs, reads, lease, and the queue for all changes."""
 
     client: StoreClient
     jobs: JobStore
@@ -48,7 +51,10 @@
 
 
 def build_store_access(environment: Environment, listeners: StoreListeners) -> StoreAccess:
-    """Share the limits of the store evenly at first; nothing is known of the other controllers yet."""
+    """Build the access to the store, with an even share of the store's limits per configured controller.
+
+    The shares are adjusted later; at first nothing is known of the other controllers' demand.
+    """
     clock, limits = environment.clock, environment.store_limits
     controllers = 1 + len(environment.peers)
     client = StoreClient(
@@ -56,7 +62,7 @@
         environment.platform.outside.state,
         clock,
         TokenBucket(limits.rps / controllers, clock),
-        TokenBucket(limits.write_rps / controllers, clock, min_burst=MIN_BURST),
+        TokenBucket(limits.write_rps / controllers, clock, min_burst=MIN_WRITE_BURST),
     )
     jobs = JobStore(changed=listeners.job_changed, complete_until=listeners.complete_until)
     watch_cache = WatchCache(
@@ -64,7 +70,7 @@
         jobs,
         clock,
         initial_watch_interval(limits, controllers),
-        watch_timeout_s=min(WATCH_TIMEOUT_S, environment.lease_times().lease_s * WATCH_TIMEOUT_LEASES),
+        watch_timeout_s=min(WATCH_TIMEOUT_S, environment.lease_times().lease_s * WATCH_TIMEOUT_LEASE_FRACTION),
         changed=listeners.key_changed,
     )
     committed = CommittedRollout(watch_cache)
