--- a/tests/rollout/test_faults_during_rollout.py
+++ b/tests/rollout/test_faults_during_rollout.py
@@ -1,4 +1,4 @@
-"""Faults in every phase of a rollout in the simulated world, with the invariants checked throughout."""
+"""Faults in every phase of a rollout in the simulated world; its invariants are checked continuously."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 async def inject_in_each_phase(world: World, fault) -> list[str]:  # noqa: ANN001
-    """Inject the fault whenever a phase is first seen; return the phases in which it was injected."""
+    """Inject the fault once in each phase, when the phase is first observed; return the phases."""
     injected: list[str] = []
     while committed(world) != (1, "finalized"):
         phase = committed(world)[1]
@@ -49,7 +49,7 @@
 
 
 async def partition_from_store_and_peers(world: World) -> None:
-    """Only its workers reach the leader: its lease expires, and it joins again."""
+    """Cut the leader off from everything except its workers until its lease expires, then let it join again."""
     label = leader(world)
     for other in ("state", *(other for other in CONTROLLERS if other != label)):
         world.cut(label, other)
@@ -58,7 +58,7 @@
 
 
 async def jobs_cancelled(world: World) -> None:
-    """Jobs are submitted, cancelled and completed while the phase changes, and blocked jobs become runnable."""
+    """Submit and cancel jobs while the phase changes; jobs complete, and blocked jobs become runnable."""
     for job in world.running_jobs()[:2]:
         world.spawn(world.cancel_job(job))
     specs = diamond(world, 200 + 10 * len(world.jobs))
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -1,4 +1,4 @@
-"""Staged rollouts, retreats and absent controllers in the simulated world, with the invariants checked throughout."""
+"""Staged rollouts, retreats and absent controllers in the simulated world; its invariants are checked continuously."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def roll_back_before_active(world: World) -> None:
-    """Roll a controller back to production in `prepared` and in the soak, then go forward again."""
+    """Roll a controller back to the program in production in `prepared` and in the soak, then complete the rollout."""
     await asyncio.sleep(5)
     for phase in (RolloutPhase.PREPARED, RolloutPhase.SOAK):
         world.operator = operator(hold_at=phase.value)
@@ -57,7 +57,7 @@
 
 
 async def retreat_and_forward_again(world: World) -> None:
-    """Retreat from `active` while records are being rewritten; production serves again; then go forward once more."""
+    """Retreat from `active` during the migration, run a controller with the program in production, then roll out again."""
     await asyncio.sleep(5)
     await upgrade(world, every_s=3.0)
     await wait_for_phase(world, 1, RolloutPhase.ACTIVE)
@@ -79,7 +79,10 @@
 
 
 def test_retreat_waits_for_a_record_that_fits_in_the_compact_shape_only() -> None:
-    """It is of a service on so many machines that its plain record is larger than a value may be."""
+    """The plain record of a service on many machines exceeds the size limit of a value.
+
+    The retreat must wait until the service is cancelled, since the record can't be converted back.
+    """
 
     async def scenario(world: World) -> None:
         await wait_for_phase(world, 1, RolloutPhase.FINALIZED)
@@ -103,7 +106,7 @@
 
 
 def test_check_detects_an_activation_that_waits_for_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The version is raised while a controller runs production's version."""
+    """Without the blocking reasons, the version is raised while controllers run the program in production."""
     monkeypatch.setattr("cloverplank.rollout.steps.blocking_reasons", lambda facts, directives, versions: ())
     monkeypatch.setattr("cloverplank.rollout.steps._goal_conflicts", lambda facts, is_acceptable, required: ())
 
@@ -118,17 +121,17 @@
 
 
 async def excuse_during_activation(world: World) -> None:
-    """An excused controller comes back with production's version and gets no lease, then with the present one."""
+    """An excused controller gets no lease with the program in production, and joins with the current one."""
     world.operator = operator(excused=frozenset({"c-2"}))
     world.crash("c-2")
     await asyncio.sleep(5)
     await upgrade(world, ("c-0", "c-1"))
     await wait_for_phase(world, 1, RolloutPhase.ACTIVE)
-    world.start("c-2")  # with production's version
+    world.start("c-2")  # with the program in production
     await asyncio.sleep(10)
     assert world.controllers["c-2"][0].controller_lease.lease is None
     assert world.state.items[keys.node("c-2")][0]["lease"] == NO_LEASE
-    world.unreadable_met.clear()  # it can't be kept from reading, only from joining
+    world.unreadable_met.clear()  # the barring key prevents the process from joining, not from reading
     world.crash("c-2")
     await upgrade(world, ("c-2",), every_s=6.0)
     assert world.controllers["c-2"][0].controller_lease.lease is not None
@@ -155,7 +158,7 @@
 
 
 def test_excuse_of_a_controller_that_is_up_is_refused(caplog: pytest.LogCaptureFixture) -> None:
-    """The rollout waits for it all the same: it runs production's version."""
+    """The rollout must wait for an excused controller that is up and runs the program in production."""
 
     async def scenario(world: World) -> None:
         await asyncio.sleep(3)
--- a/tests/rollout/test_rollout_property.py
+++ b/tests/rollout/test_rollout_property.py
@@ -1,7 +1,8 @@
-"""Starts, ends, rollbacks, excuses, retreats and late commits in any order, on a model of a cluster.
+"""Property tests of rollouts on a model of a cluster.
 
-No running process meets a shape that it can't read, the version moves as the tables of `docs/rollout.md` say, and a
-rollout in which all controllers are able completes.
+Controllers start, stop and are rolled back or excused, the version retreats, and commits arrive late, all in any order.
+No running process may read a record in a shape that it does not support, the version may change only as the tables in
+`docs/rollout.md` allow, and a rollout must complete if all controllers support it.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
     run_state_machine_as_test(Cluster, settings=THOROUGH)
 
 
-def run_until(cluster: Cluster, version: int, phase: RolloutPhase, deaf: str | None = None) -> None:
-    """Let the leader act until the version and its phase are committed; the watch cache of `deaf` gets no events."""
+def run_until(cluster: Cluster, version: int, phase: RolloutPhase, isolated: str | None = None) -> None:
+    """Run rounds until the version and phase are committed; the watch cache of `isolated` receives no events."""
     for _ in range(MAX_ROUNDS):
         if cluster.history and (cluster._version(), cluster.history[-1].phase) == (version, phase):
             return
-        cluster.round(deaf)
-    raise AssertionError(f"{cluster.history[-1]} after {MAX_ROUNDS} rounds")
+        cluster.round(isolated)
+    raise AssertionError(f"after {MAX_ROUNDS} rounds: expected {version} {phase.value}, got {cluster.history[-1]}")
 
 
 def check_invariants(cluster: Cluster) -> None:
@@ -40,7 +41,7 @@
 
 
 def cluster_with_delayed_activation() -> Cluster:
-    """Return a cluster whose leader has taken the step to `active`, which is not carried out yet."""
+    """Return a cluster whose leader has sent the transaction of the step to `active`, which is still in flight."""
     cluster = Cluster()
     cluster.begin(0, 1, 0)
     run_until(cluster, 0, RolloutPhase.SOAK)
@@ -51,7 +52,7 @@
 
 
 def activated_late_over_a_rolled_back_controller() -> Cluster:
-    """The leader's step to `active` is carried out after a controller was replaced by the version in production."""
+    """The delayed step to `active` reaches the store after a controller was replaced by the program in production."""
     cluster = cluster_with_delayed_activation()
     cluster.stop("c-1")
     cluster.start("c-1", PRODUCTION, 1, frozenset())
@@ -62,12 +63,12 @@
 
 
 def write_by_a_controller_that_missed_the_retreat() -> Cluster:
-    """A controller whose watch cache is older than the retreat writes a record that it has just read by itself."""
+    """A controller whose watch cache predates the retreat writes a record that it has just read from the store."""
     cluster = Cluster()
     cluster.begin(0, 1, 0)
     run_until(cluster, 1, RolloutPhase.FINALIZED)
     cluster.change_goal(0)
-    run_until(cluster, 0, RolloutPhase.FINALIZED, deaf="c-2")
+    run_until(cluster, 0, RolloutPhase.FINALIZED, isolated="c-2")
     cluster.stop("c-1")
     cluster.start("c-1", PRODUCTION, 1, frozenset())
     cluster.read_anew("c-2", JOBS[0])
@@ -76,7 +77,7 @@
 
 
 def raised_late_after_a_retreat() -> Cluster:
-    """A delayed step to `active` is carried out after the version has been raised and taken back."""
+    """A delayed step to `active` reaches the store after the version has been raised and lowered again."""
     cluster = cluster_with_delayed_activation()
     run_until(cluster, 1, RolloutPhase.FINALIZED)
     cluster.change_goal(0)
@@ -87,25 +88,27 @@
 
 
 def two_controllers_that_believe_they_lead() -> Cluster:
-    """The former leader does not know that its lease ended and takes a step from its old watch cache."""
+    """A former leader that has not noticed the end of its lease decides a step on a stale watch cache."""
     cluster = Cluster()
     cluster.begin(0, 1, 0)
     run_until(cluster, 0, RolloutPhase.SOAK)
-    former = cluster.running["c-0"]
+    former_leader = cluster.running["c-0"]
     cluster.stop("c-0")
     cluster.start("c-0", ABLE, 1, frozenset())
     cluster.take_leadership("c-1")
     cluster.time_passes(90.0)
-    cluster._look(former, late=False)
+    cluster._look(former_leader, late=False)
     assert cluster.history[-1].phase is RolloutPhase.SOAK
     cluster.hear_news("c-1")
     cluster.lead("c-1", late=False)
-    assert cluster.history[-1].phase is RolloutPhase.PREPARED, "a process came back since the soak began"
+    assert cluster.history[-1].phase is RolloutPhase.PREPARED, (
+        "expected the soak to restart: a process has joined again since it began"
+    )
     return cluster
 
 
 def excused_controller_restarts_with_production() -> Cluster:
-    """An excused controller restarts with production's version and is barred by its key."""
+    """An excused controller that restarts with the program in production can't join, since its key bars it."""
     cluster = Cluster()
     for name in ("c-0", "c-1"):
         cluster.start(name, ABLE, 1, frozenset({"c-2"}))
--- a/tests/rollout/test_version_fence.py
+++ b/tests/rollout/test_version_fence.py
@@ -1,4 +1,4 @@
-"""Processes that can't read the committed version, unreadable keys, and what writes are conditional on."""
+"""Processes that don't support the committed version, unreadable keys, and the conditions of writes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def put(world: World, key: str, value: object) -> None:
-    """Write a key as another program would."""
+    """Write a key directly to the store, as a program of another version would."""
     world.state._commit({"when": [], "writes": [{"put": key, "value": value}]})
 
 
@@ -49,7 +49,7 @@
 def test_process_that_cannot_read_the_version_does_not_join(
     key: str, value: object, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """It logs the reason, is not ready, retries, and leaves the key unchanged."""
+    """A process that does not join logs the reason once, is not ready, retries, and leaves the key unchanged."""
 
     async def work() -> None:
         world = World(61, operator=operator())
