--- a/src/cloverplank/rollout/commits.py
+++ b/src/cloverplank/rollout/commits.py
@@ -10,7 +10,7 @@
 from cloverplank.records.cluster import NO_LEASE, NodeRecord
 from cloverplank.records.rollout import FormatRecord, RolloutPhase
 from cloverplank.rollout.committed import CommittedRollout
-from cloverplank.rollout.steps import Step
+from cloverplank.rollout.state_machine import Step
 from cloverplank.wire.kvstore import COMPARES_PER_CHANGE, Compare, Delete, Put, Transaction
 
 FIXED_COMPARES = 3  # compares of every step: leader, rollout and format keys
--- a/src/cloverplank/rollout/driver.py
+++ b/src/cloverplank/rollout/driver.py
@@ -16,12 +16,12 @@
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.records.cluster import NodeRecord
 from cloverplank.records.rollout import RolloutPhase, RolloutRecord
-from cloverplank.rollout import steps
+from cloverplank.rollout import state_machine
 from cloverplank.rollout.commits import StepCommits, step_limits
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.rollout.migration import Migration
 from cloverplank.rollout.observation import observe
-from cloverplank.rollout.steps import Directives, Step
+from cloverplank.rollout.state_machine import Directives, Step
 from cloverplank.settings.rollout import RolloutSettings
 from cloverplank.wire.kvstore import Transaction
 
@@ -128,8 +128,8 @@
             records_to_rewrite=self._rewrite_records(current, self._committed.mod_revision()),
             now=self._clock.wall_ms(),
         )
-        outcome = steps.next_step(current, facts, self._directives)
-        warnings = steps.ignored_excuse_warnings(facts, self._directives)
+        outcome = state_machine.next_step(current, facts, self._directives)
+        warnings = state_machine.ignored_excuse_warnings(facts, self._directives)
         if isinstance(outcome, Step):
             self._log_waiting(warnings)
             await self._commit_step(leadership_revision, current, outcome)
--- a/src/cloverplank/rollout/observation.py
+++ b/src/cloverplank/rollout/observation.py
@@ -8,7 +8,7 @@
 from cloverplank.records.cluster import NodeRecord
 from cloverplank.rollout.commits import StepLimits
 from cloverplank.rollout.committed import CommittedRollout
-from cloverplank.rollout.steps import Facts, LiveController
+from cloverplank.rollout.state_machine import Facts, LiveController
 
 
 def observe(
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -107,8 +107,8 @@
 
 def test_check_detects_an_activation_that_waits_for_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the blocking reasons, the version is raised while controllers run the program in production."""
-    monkeypatch.setattr("cloverplank.rollout.steps.blocking_reasons", lambda facts, directives, versions: ())
-    monkeypatch.setattr("cloverplank.rollout.steps._goal_conflicts", lambda facts, is_acceptable, required: ())
+    monkeypatch.setattr("cloverplank.rollout.state_machine.blocking_reasons", lambda facts, directives, versions: ())
+    monkeypatch.setattr("cloverplank.rollout.state_machine._goal_conflicts", lambda facts, is_acceptable, required: ())
 
     async def scenario(world: World) -> None:
         await upgrade(world, ("c-0",))
--- a/tests/simulation/rollout_model.py
+++ b/tests/simulation/rollout_model.py
@@ -28,7 +28,7 @@
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.records.cluster import NO_LEASE, LeaderRecord, NodeRecord
 from cloverplank.records.rollout import RolloutPhase, RolloutRecord
-from cloverplank.rollout import steps
+from cloverplank.rollout import state_machine
 from cloverplank.rollout.commits import StepCommits, step_limits
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.rollout.driver import directives_from
@@ -270,8 +270,8 @@
         )
         for job in unconverted[:1]:
             self._write(process, job, late)
-        outcome = steps.next_step(current, facts, directives)
-        if isinstance(outcome, steps.Step):
+        outcome = state_machine.next_step(current, facts, directives)
+        if isinstance(outcome, state_machine.Step):
             self._commit_perhaps_late(StepCommits(watch_cache, committed, TXN_OPS).commit(leader[1], outcome), late)
 
     def _unconverted_jobs(self, watch_cache: WatchCache, current: RolloutRecord, since: ModRevision) -> list[str]:
