--- a/src/cloverplank/rollout/driver.py
+++ b/src/cloverplank/rollout/driver.py
@@ -17,11 +17,11 @@
 from cloverplank.records.cluster import NodeRecord
 from cloverplank.records.rollout import RolloutPhase, RolloutRecord
 from cloverplank.rollout import state_machine
-from cloverplank.rollout.commits import StepCommits, step_limits
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.rollout.migration import Migration
 from cloverplank.rollout.observation import observe
 from cloverplank.rollout.state_machine import Directives, Step
+from cloverplank.rollout.step_transactions import StepTransactionBuilder, step_limits
 from cloverplank.settings.rollout import RolloutSettings
 from cloverplank.wire.kvstore import Transaction
 
@@ -75,7 +75,7 @@
         self._logged_reasons: tuple[str, ...] = ()
         self._directives = directives_from(settings)
         self._limits = step_limits(deployment.txn_ops)
-        self._commits = StepCommits(watch_cache, committed, deployment.txn_ops)
+        self._transactions = StepTransactionBuilder(watch_cache, committed, deployment.txn_ops)
 
     async def reconcile(self) -> None:
         """Commit the next step, if this controller is the leader and a step is due.
@@ -111,7 +111,7 @@
         }
         if len(compatible) < len(self._deployment.controllers):
             return
-        if await self._commit(self._commits.announcement(leadership_revision, NEWEST_VERSION, compatible)):
+        if await self._commit(self._transactions.build_announcement(leadership_revision, NEWEST_VERSION, compatible)):
             log.info("all %d controllers read format version %d", len(compatible), NEWEST_VERSION)
 
     async def _advance(self, leadership_revision: ModRevision) -> None:
@@ -154,7 +154,7 @@
         return len(remaining)
 
     async def _commit_step(self, leadership_revision: ModRevision, current: RolloutRecord, step: Step) -> None:
-        if not await self._commit(self._commits.commit(leadership_revision, step)):
+        if not await self._commit(self._transactions.build_step(leadership_revision, step)):
             return
         log.info(
             "rollout: %s -> %s, version %d: %s",
--- a/src/cloverplank/rollout/observation.py
+++ b/src/cloverplank/rollout/observation.py
@@ -6,9 +6,9 @@
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.records.cluster import NodeRecord
-from cloverplank.rollout.commits import StepLimits
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.rollout.state_machine import Facts, LiveController
+from cloverplank.rollout.step_transactions import StepLimits
 
 
 def observe(
--- a/src/cloverplank/rollout/commits.py
+++ b/src/cloverplank/rollout/step_transactions.py
@@ -29,7 +29,7 @@
     return StepLimits(txn_ops * COMPARES_PER_CHANGE - FIXED_COMPARES, max(0, txn_ops - FIXED_CHANGES))
 
 
-class StepCommits:
+class StepTransactionBuilder:
     """Builds transactions whose compares use the watch cache on which the step was decided."""
 
     def __init__(self, watch_cache: WatchCache, committed: CommittedRollout, txn_ops: int) -> None:
@@ -37,7 +37,7 @@
         self._committed = committed
         self._txn_ops = txn_ops
 
-    def commit(self, leadership_revision: ModRevision, step: Step) -> Transaction:
+    def build_step(self, leadership_revision: ModRevision, step: Step) -> Transaction:
         """Return the transaction that commits a step; it fails if any key on which the decision was based has changed.
 
         `leadership_revision` is the mod revision of the leader's key.
@@ -56,7 +56,7 @@
             changes += [Delete(key) for key in readmitted_keys]
         return Transaction(conditions, changes)
 
-    def announcement(
+    def build_announcement(
         self, leadership_revision: ModRevision, version: int, compatible: dict[NodeId, ModRevision]
     ) -> Transaction:
         """Return a transaction that announces a version without a rollout.
--- a/tests/rollout/test_rollout_property.py
+++ b/tests/rollout/test_rollout_property.py
@@ -13,8 +13,8 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from cloverplank.records.rollout import RolloutPhase
-from cloverplank.rollout.commits import StepCommits
 from cloverplank.rollout.committed import CommittedRollout
+from cloverplank.rollout.step_transactions import StepTransactionBuilder
 from tests.simulation.rollout_model import ABLE, JOBS, PRODUCTION, Cluster
 
 THOROUGH = settings(max_examples=200, stateful_step_count=25)
@@ -137,12 +137,12 @@
     cluster.teardown()
 
 
-def without_unchanged_keys(commit):  # noqa: ANN001, ANN201
-    return lambda self, leader, step: commit(self, leader, msgspec.structs.replace(step, unchanged={}))
+def without_unchanged_keys(build_step):  # noqa: ANN001, ANN201
+    return lambda self, leader, step: build_step(self, leader, msgspec.structs.replace(step, unchanged={}))
 
 
 def test_check_detects_a_step_without_unchanged_keys(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(StepCommits, "commit", without_unchanged_keys(StepCommits.commit))
+    monkeypatch.setattr(StepTransactionBuilder, "build_step", without_unchanged_keys(StepTransactionBuilder.build_step))
     with pytest.raises(AssertionError):
         check_invariants(activated_late_over_a_rolled_back_controller())
 
--- a/tests/simulation/rollout_model.py
+++ b/tests/simulation/rollout_model.py
@@ -29,11 +29,11 @@
 from cloverplank.records.cluster import NO_LEASE, LeaderRecord, NodeRecord
 from cloverplank.records.rollout import RolloutPhase, RolloutRecord
 from cloverplank.rollout import state_machine
-from cloverplank.rollout.commits import StepCommits, step_limits
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.rollout.driver import directives_from
 from cloverplank.rollout.fence import CommittedVersionFence
 from cloverplank.rollout.observation import observe
+from cloverplank.rollout.step_transactions import StepTransactionBuilder, step_limits
 from cloverplank.settings.rollout import RolloutSettings
 from cloverplank.wire.codec import encode
 from cloverplank.wire.kvstore import Compare, Put, Transaction
@@ -272,7 +272,9 @@
             self._write(process, job, late)
         outcome = state_machine.next_step(current, facts, directives)
         if isinstance(outcome, state_machine.Step):
-            self._commit_perhaps_late(StepCommits(watch_cache, committed, TXN_OPS).commit(leader[1], outcome), late)
+            self._commit_perhaps_late(
+                StepTransactionBuilder(watch_cache, committed, TXN_OPS).build_step(leader[1], outcome), late
+            )
 
     def _unconverted_jobs(self, watch_cache: WatchCache, current: RolloutRecord, since: ModRevision) -> list[str]:
         compact = watch_cache.compact_jobs
