--- a/src/cloverplank/rollout/driver.py
+++ b/src/cloverplank/rollout/driver.py
@@ -19,7 +19,7 @@
 from cloverplank.rollout import state_machine
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.rollout.migration import Migration
-from cloverplank.rollout.observation import observe
+from cloverplank.rollout.observation import collect_facts
 from cloverplank.rollout.state_machine import Directives, Step
 from cloverplank.rollout.step_transactions import StepTransactionBuilder, step_limits
 from cloverplank.settings.rollout import RolloutSettings
@@ -120,7 +120,7 @@
             self._log_waiting(tuple(f"{key} can't be read: the cluster version stays unchanged" for key in unreadable))
             return
         current = self._committed.current()
-        facts = observe(
+        facts = collect_facts(
             self._watch_cache,
             self._committed,
             configured=self._deployment.controllers,
--- a/src/cloverplank/rollout/observation.py
+++ b/src/cloverplank/rollout/observation.py
@@ -11,7 +11,7 @@
 from cloverplank.rollout.step_transactions import StepLimits
 
 
-def observe(
+def collect_facts(
     watch_cache: WatchCache,
     committed: CommittedRollout,
     *,
--- a/tests/simulation/rollout_model.py
+++ b/tests/simulation/rollout_model.py
@@ -32,7 +32,7 @@
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.rollout.driver import directives_from
 from cloverplank.rollout.fence import CommittedVersionFence
-from cloverplank.rollout.observation import observe
+from cloverplank.rollout.observation import collect_facts
 from cloverplank.rollout.step_transactions import StepTransactionBuilder, step_limits
 from cloverplank.settings.rollout import RolloutSettings
 from cloverplank.wire.codec import encode
@@ -260,7 +260,7 @@
         unconverted = self._unconverted_jobs(watch_cache, current, since)
         configured = frozenset(NodeId(name) for name in NAMES)
         clock = Clock(wall=lambda: self.now)
-        facts = observe(
+        facts = collect_facts(
             watch_cache,
             committed,
             configured=configured,
