--- a/src/cloverplank/controller/store_access.py
+++ b/src/cloverplank/controller/store_access.py
@@ -81,7 +81,7 @@
         watch_cache=watch_cache,
         committed=committed,
         size_limits=size_limits,
-        queue=TransactionQueue(client, watch_cache, clock, size_limits, committed.conditions),
+        queue=TransactionQueue(client, watch_cache, clock, size_limits, committed.write_conditions),
         reader=LinearizableReader(client, watch_cache, clock, limits.txn_ops),
         controller_lease=ControllerLease(
             environment.node_id,
--- a/src/cloverplank/rollout/committed.py
+++ b/src/cloverplank/rollout/committed.py
@@ -37,19 +37,19 @@
     def __init__(self, watch_cache: WatchCache) -> None:
         self._watch_cache = watch_cache
 
-    def announced(self) -> int:
+    def announced_version(self) -> int:
         """Return the version in the format key, or 0 if there is no such key."""
         stored = self._watch_cache.get(keys.FORMAT, FormatRecord)
         return 0 if stored is None else stored.record.version
 
-    def stored(self) -> RolloutRecord | None:
+    def stored_record(self) -> RolloutRecord | None:
         """Return the committed record, or None if no rollout was ever started or the record can't be read."""
         stored = self._watch_cache.get(keys.ROLLOUT, RolloutRecord)
         return None if stored is None else stored.record
 
     def current(self) -> RolloutRecord:
         """Return the committed record, or the initial record if there is none."""
-        return self.stored() or initial_record(self.announced())
+        return self.stored_record() or initial_record(self.announced_version())
 
     def unreadable_keys(self) -> list[str]:
         """Return those of the GATE_KEYS whose values can't be read."""
@@ -67,7 +67,7 @@
         """Return whether the job's record is stored compact and may stay compact if its plain form is too large."""
         return job in self._watch_cache.compact_jobs and self.compact_use() is CompactUse.LEAVING
 
-    def conditions(self, shape: Shape) -> list[Compare]:
+    def write_conditions(self, shape: Shape) -> list[Compare]:
         """Return the compares that guard a write in the shape.
 
         A write in a gated shape requires the gate keys to be unchanged since the watch cache read them.
--- a/src/cloverplank/rollout/driver.py
+++ b/src/cloverplank/rollout/driver.py
@@ -99,7 +99,9 @@
 
         This replaces staged rollouts where they are disabled.
         """
-        if self._committed.announced() >= NEWEST_VERSION or self._watch_cache.mod_revision_or_unreadable(keys.ROLLOUT):
+        if self._committed.announced_version() >= NEWEST_VERSION or self._watch_cache.mod_revision_or_unreadable(
+            keys.ROLLOUT
+        ):
             return
         if keys.FORMAT in self._watch_cache.unreadable:
             return
--- a/src/cloverplank/rollout/observation.py
+++ b/src/cloverplank/rollout/observation.py
@@ -32,7 +32,7 @@
         configured=configured,
         controllers=controllers,
         unreadable=tuple(sorted(key for key in watch_cache.unreadable if key.startswith(keys.NODES))),
-        announced_version=committed.announced(),
+        announced_version=committed.announced_version(),
         now=now,
         records_to_rewrite=records_to_rewrite,
         max_compared_controllers=limits.max_compared_controllers,
--- a/src/cloverplank/rollout/step_transactions.py
+++ b/src/cloverplank/rollout/step_transactions.py
@@ -46,7 +46,7 @@
         conditions += [Compare(keys.node(name), mod_revision) for name, mod_revision in step.unchanged.items()]
         conditions += [self._as_cached(keys.node(name)) for name in sorted(step.barred)]
         changes: list[Put | Delete] = [Put(keys.ROLLOUT, step.record)]
-        if step.record.version != self._committed.announced():
+        if step.record.version != self._committed.announced_version():
             changes.append(_announcement(step.record.version))
         barring_record = NodeRecord("", NO_LEASE, step.record.version, step.record.version)
         changes += [Put(keys.node(name), barring_record) for name in sorted(step.barred)]
--- a/tests/simulation/rollout_model.py
+++ b/tests/simulation/rollout_model.py
@@ -299,9 +299,9 @@
         conditions = [Compare(keys.job(job), view.mod_revision)]
         if process.program == ABLE:
             value = stored(view.record, MAX_PLAIN_BYTES, compact_allowed=process.committed.compact_allowed())
-            conditions += process.committed.conditions(shape_of(value))
+            conditions += process.committed.write_conditions(shape_of(value))
         else:
-            compact_allowed = process.program == UNAWARE and process.committed.announced() >= 1
+            compact_allowed = process.program == UNAWARE and process.committed.announced_version() >= 1
             value = stored(view.record, MAX_PLAIN_BYTES, compact_allowed=compact_allowed)
         self._commit_perhaps_late(Transaction(conditions, [Put(keys.job(job), value)]), late)
 
