--- a/src/cloverplank/basic_types.py
+++ b/src/cloverplank/basic_types.py
@@ -23,7 +23,7 @@
 
 MS_PER_SECOND = 1000
 NEVER = MonotonicTime(-1e9)  # time of an event that has not happened yet: before any reading of the monotonic clock
-DRIFT = 0.0005  # upper bound of the relative rate difference between the monotonic clocks of two machines
+MAX_CLOCK_DRIFT = 0.0005  # upper bound of the relative rate difference between the monotonic clocks of two machines
 MAX_TASK_INDEX_DIGITS = 9
 MAX_CACHED_TASK_NAMES = 80_000  # successive heartbeats repeat task names: 4,000 machines with 20 tasks each
 
--- a/src/cloverplank/kvstore/controller_lease.py
+++ b/src/cloverplank/kvstore/controller_lease.py
@@ -15,7 +15,17 @@
 
 from msgspec import Struct
 
-from cloverplank.basic_types import DRIFT, NEVER, Clock, FencingToken, LeaseId, ModRevision, MonotonicTime, NodeId, Zone
+from cloverplank.basic_types import (
+    MAX_CLOCK_DRIFT,
+    NEVER,
+    Clock,
+    FencingToken,
+    LeaseId,
+    ModRevision,
+    MonotonicTime,
+    NodeId,
+    Zone,
+)
 from cloverplank.feature_gates import NEWEST_VERSION, OLDEST_VERSION
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.client import StoreClient
@@ -126,7 +136,7 @@
         if self.lease is None and self.state in (LeaseState.JOINING, LeaseState.EXPIRED):
             return self.state
         silent_s = self._clock.monotonic() - self.contact_at()
-        if self.lease is not None and silent_s < self.lease_s * (1 - 2 * DRIFT) - LEASE_MARGIN_S:
+        if self.lease is not None and silent_s < self.lease_s * (1 - 2 * MAX_CLOCK_DRIFT) - LEASE_MARGIN_S:
             self._enter(LeaseState.ACTIVE)
         elif silent_s < self.grace_s:
             self._enter(LeaseState.GRACE)
--- a/src/cloverplank/settings/platform.py
+++ b/src/cloverplank/settings/platform.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from cloverplank.basic_types import DRIFT
+from cloverplank.basic_types import MAX_CLOCK_DRIFT
 from cloverplank.settings import InvalidSettingsError
 
 MIN_MARGIN_S = 1.0  # covers a worker's own lateness, and rounding
@@ -171,7 +171,7 @@
     cancellation that was committed after the last contact. Where the operators' margin leaves less than a controller's
     lease, the margin is shortened as far as it is safe; the bound itself never is.
     """
-    max_contact_s = cancel_s - lease_s * (1 + 2 * DRIFT)
+    max_contact_s = cancel_s - lease_s * (1 + 2 * MAX_CLOCK_DRIFT)
     return max(max_contact_s - margin_s, min(controller_lease_s, max_contact_s - MIN_MARGIN_S))
 
 
@@ -215,7 +215,7 @@
 
 
 def _check_workers(workers: Workers) -> None:
-    min_cancel_s = workers.lease_s * (1 + 2 * DRIFT) + MIN_MARGIN_S + MIN_CONTACT_S
+    min_cancel_s = workers.lease_s * (1 + 2 * MAX_CLOCK_DRIFT) + MIN_MARGIN_S + MIN_CONTACT_S
     if workers.cancel_s < min_cancel_s:
         raise InvalidSettingsError(
             f"{workers.cancel_s:g} is too short for lease_s {workers.lease_s:g}: "
--- a/src/cloverplank/shard/machine.py
+++ b/src/cloverplank/shard/machine.py
@@ -7,7 +7,16 @@
 
 from msgspec import Struct, field
 
-from cloverplank.basic_types import DRIFT, NEVER, FencingToken, MachineId, MonotonicTime, TaskRef, Zone, parse_task
+from cloverplank.basic_types import (
+    MAX_CLOCK_DRIFT,
+    NEVER,
+    FencingToken,
+    MachineId,
+    MonotonicTime,
+    TaskRef,
+    Zone,
+    parse_task,
+)
 from cloverplank.wire.workers import Heartbeat, TaskStatus
 
 log = logging.getLogger(__name__)
@@ -178,7 +187,7 @@
         That is when the lease expires, counted from the owner's last response, or, while the worker has not carried
         the owner's token, from the last response that a former owner can have given (`unfenced_expiry_at`).
         """
-        expiry_at = MonotonicTime(self.last_response_at + lease_s * (1 + 2 * DRIFT) + EXPIRY_MARGIN_S)
+        expiry_at = MonotonicTime(self.last_response_at + lease_s * (1 + 2 * MAX_CLOCK_DRIFT) + EXPIRY_MARGIN_S)
         return expiry_at if self.fenced else max(expiry_at, unfenced_expiry_at)
 
     def remember_image(self, image: str, size_gb: float, cache_gb: float) -> None:
--- a/tests/kvstore/test_controller_lease.py
+++ b/tests/kvstore/test_controller_lease.py
@@ -10,7 +10,7 @@
 from hypothesis import assume, given
 from hypothesis import strategies as st
 
-from cloverplank.basic_types import DRIFT, JobId, LeaseId, ModRevision
+from cloverplank.basic_types import MAX_CLOCK_DRIFT, JobId, LeaseId, ModRevision
 from cloverplank.kvstore.client import StoreClient
 from cloverplank.kvstore.controller_lease import ControllerLease, LeaseState, LeaseTimes
 from cloverplank.kvstore.errors import OutcomeUnknownError
@@ -63,7 +63,7 @@
         assume(False)
     bound = contact_bound(cancel_s, lease_s, margin_s, own_lease_s)
     assert bound >= 1.0 - 1e-9
-    assert bound + lease_s * (1 + 2 * DRIFT) <= cancel_s - 1.0 + 1e-9
+    assert bound + lease_s * (1 + 2 * MAX_CLOCK_DRIFT) <= cancel_s - 1.0 + 1e-9
 
 
 def test_rules_hold_with_the_smallest_contact_bound(monkeypatch: pytest.MonkeyPatch) -> None:
