--- a/src/cloverplank/basic_types.py
+++ b/src/cloverplank/basic_types.py
@@ -42,7 +42,7 @@
 
 
 @lru_cache(maxsize=MAX_CACHED_TASK_NAMES)
-def parse_task(name: str, attempt: int) -> TaskRef | None:
+def parse_task_name(name: str, attempt: int) -> TaskRef | None:
     """Parse a task name sent by a worker; return None if it is malformed."""
     job, slash, index = name.rpartition("/")
     if not slash or not index.isdecimal() or len(index) > MAX_TASK_INDEX_DIGITS:
--- a/src/cloverplank/shard/machine.py
+++ b/src/cloverplank/shard/machine.py
@@ -15,7 +15,7 @@
     MonotonicTime,
     TaskRef,
     Zone,
-    parse_task,
+    parse_task_name,
 )
 from cloverplank.wire.workers import Heartbeat, TaskStatus
 
@@ -151,7 +151,7 @@
         self.reported_tasks = heartbeat.tasks
         self.tasks = {}
         for status in heartbeat.tasks:
-            parsed = parse_task(status.task, status.attempt)
+            parsed = parse_task_name(status.task, status.attempt)
             if parsed is not None:
                 self.tasks[parsed] = status
         self.first_seen = {ref: self.first_seen.get(ref, now) for ref in self.tasks}
