--- a/src/cloverplank/controller/routing.py
+++ b/src/cloverplank/controller/routing.py
@@ -42,7 +42,7 @@
         self._users = users
         self._gossip = gossip
 
-    async def front(self, request: Request) -> Response:
+    async def handle_front(self, request: Request) -> Response:
         """Handle a request of a user, a worker or a health check."""
         path = request.path
         if path == HEARTBEAT_PATH:
@@ -55,7 +55,7 @@
             return self._readiness(request)
         return no_such_path()
 
-    async def peer(self, request: Request) -> Response:
+    async def handle_peer(self, request: Request) -> Response:
         """Handle a request of another controller."""
         return await self._meter.metered(Part.GOSSIP, self._gossip.handle(request))
 
--- a/src/cloverplank/serve.py
+++ b/src/cloverplank/serve.py
@@ -29,8 +29,8 @@
     client = Client(sockets.client_min, sockets)
     controller = Controller(platform, operator, clock=Clock(), http=client, rng=random.Random(), meter=meter)
     for name, handler, text, limit, shared in (
-        ("front", controller.router.front, platform.front, sockets.front, FrontSockets(sockets, client.trim)),
-        ("peers", controller.router.peer, platform.peer_listen, sockets.peers, None),
+        ("front", controller.router.handle_front, platform.front, sockets.front, FrontSockets(sockets, client.trim)),
+        ("peers", controller.router.handle_peer, platform.peer_listen, sockets.peers, None),
     ):
         addr = parse_addr(text, name)
         await Server(name, handler, limit, sockets=shared, meter=meter).start(addr.host, addr.port)
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -264,7 +264,7 @@
         if found is None:
             return None
         router = found[0].router
-        handle = router.front if message.addr.startswith(USER_ADDRESS_PREFIX) else router.peer
+        handle = router.handle_front if message.addr.startswith(USER_ADDRESS_PREFIX) else router.handle_peer
         response = await handle(Request(message.method, message.path.partition("?")[0], message.body))
         if message.path == HEARTBEAT_PATH and response.status == 200:
             self.rules.commands_sent(message.host, msgspec.msgpack.decode(response.body)["orders"])
