--- a/src/cloverplank/controller/composition.py
+++ b/src/cloverplank/controller/composition.py
@@ -76,7 +76,7 @@
             environment,
             StoreListeners(
                 job_changed=self._on_job_changed,
-                key_changed=self._key_changed,
+                key_changed=self._on_key_changed,
                 complete_until=self._complete_until,
                 lease_changed=self.request_cycle,
             ),
@@ -298,7 +298,7 @@
                 shard.task_reconciler.job_changed(view)
         self.request_cycle()
 
-    def _key_changed(self, key: str) -> None:
+    def _on_key_changed(self, key: str) -> None:
         self.owned.key_changed(key)
         if key == keys.LEADER:
             self.gossip.introduce()
--- a/tests/shard/test_former_owners.py
+++ b/tests/shard/test_former_owners.py
@@ -67,7 +67,7 @@
 
     def loaded_anew(self) -> None:
         """Tell the controller what it is told once it has read everything again."""
-        self.controller._key_changed("")
+        self.controller._on_key_changed("")
 
     def cycle(self) -> None:
         """Do what a scheduling cycle begins with."""
