--- a/src/cloverplank/controller/composition.py
+++ b/src/cloverplank/controller/composition.py
@@ -319,7 +319,9 @@
 
     def _count_workers(self, zone: Zone, since: MonotonicTime) -> WorkerCounts:
         """Count the zone's workers that were up recently, and those that have sent a heartbeat here since `since`."""
-        known = sum(entry.zone == zone and entry.heard_at is not None for entry in self.registry.entries.values())
+        known = sum(
+            entry.zone == zone and entry.last_contact_at is not None for entry in self.registry.entries.values()
+        )
         return WorkerCounts(known, self.gossip.count_workers_heard(zone, since))
 
     # -- operation
