--- a/src/cloverplank/controller/composition.py
+++ b/src/cloverplank/controller/composition.py
@@ -282,7 +282,7 @@
             zone,
             token,
             services,
-            may_start=lambda: self.controller_lease.check() is LeaseState.ACTIVE and zone in self.shards,
+            may_start=lambda: self.controller_lease.refresh_state() is LeaseState.ACTIVE and zone in self.shards,
         )
 
     # -- callbacks of the parts
--- a/src/cloverplank/leader/handover.py
+++ b/src/cloverplank/leader/handover.py
@@ -109,7 +109,7 @@
             Compare(keys.LEADER, leadership_revision),
             Compare(keys.shard(zone), handover.former_token),
             Compare(keys.node(successor.node), successor.mod_revision),
-            Compare(verdict_key, self._watch_cache.mod_revision_or_unreadable(verdict_key)),
+            Compare(verdict_key, self._watch_cache.stored_mod_revision(verdict_key)),
         ]
         lease = successor.record.lease
         changes: list[Put | Delete] = [
@@ -137,7 +137,7 @@
         previous = self._watch_cache.get(keys.verdict(node), VerdictRecord)
         count = 1
         if previous is not None and now - previous.record.decided_at < REPEAT_WINDOW_MS:
-            count += previous.record.count
+            count += previous.record.consecutive
         return VerdictRecord(
             node, evidence.incarnation, now, count, handover.zone, successor, verdicts.reason(evidence)
         )
--- a/src/cloverplank/rollout/committed.py
+++ b/src/cloverplank/rollout/committed.py
@@ -7,7 +7,7 @@
 from cloverplank.jobs.shapes import CompactUse, Shape
 from cloverplank.kvstore import keys
 from cloverplank.kvstore.watch_cache import WatchCache
-from cloverplank.records.rollout import FormatRecord, RolloutPhase, RolloutRecord, initial_record
+from cloverplank.records.rollout import FormatRecord, RolloutPhase, RolloutRecord, initial_rollout_record
 from cloverplank.wire.kvstore import Compare
 
 GATE_KEYS = (keys.ROLLOUT, keys.FORMAT)  # the keys that determine which record shapes may be written
@@ -49,7 +49,7 @@
 
     def current(self) -> RolloutRecord:
         """Return the committed record, or the initial record if there is none."""
-        return self.stored_record() or initial_record(self.announced_version())
+        return self.stored_record() or initial_rollout_record(self.announced_version())
 
     def unreadable_keys(self) -> list[str]:
         """Return those of the GATE_KEYS whose values can't be read."""
@@ -74,7 +74,7 @@
         """
         if shape is Shape.PLAIN:
             return []
-        return [Compare(key, self._watch_cache.mod_revision_or_unreadable(key)) for key in GATE_KEYS]
+        return [Compare(key, self._watch_cache.stored_mod_revision(key)) for key in GATE_KEYS]
 
     def incompatibility(self) -> str | None:
         """Return the reason why this program can't serve at the version in the watch cache, or None if it can."""
@@ -82,4 +82,4 @@
 
     def mod_revision(self) -> ModRevision:
         """Return the mod revision of the rollout key, or 0 if there is no such key."""
-        return self._watch_cache.mod_revision_or_unreadable(keys.ROLLOUT)
+        return self._watch_cache.stored_mod_revision(keys.ROLLOUT)
--- a/src/cloverplank/rollout/driver.py
+++ b/src/cloverplank/rollout/driver.py
@@ -99,9 +99,7 @@
 
         This replaces staged rollouts where they are disabled.
         """
-        if self._committed.announced_version() >= NEWEST_VERSION or self._watch_cache.mod_revision_or_unreadable(
-            keys.ROLLOUT
-        ):
+        if self._committed.announced_version() >= NEWEST_VERSION or self._watch_cache.stored_mod_revision(keys.ROLLOUT):
             return
         if keys.FORMAT in self._watch_cache.unreadable:
             return
@@ -109,7 +107,7 @@
         compatible = {
             NodeId(name): mod_revision
             for name, (record, mod_revision) in nodes.items()
-            if record.is_live() and record.format >= NEWEST_VERSION
+            if record.is_live() and record.newest_version >= NEWEST_VERSION
         }
         if len(compatible) < len(self._deployment.controllers):
             return
--- a/src/cloverplank/rollout/step_transactions.py
+++ b/src/cloverplank/rollout/step_transactions.py
@@ -78,7 +78,7 @@
         ]
 
     def _as_cached(self, key: str) -> Compare:
-        return Compare(key, self._watch_cache.mod_revision_or_unreadable(key))
+        return Compare(key, self._watch_cache.stored_mod_revision(key))
 
     def _barred_keys(self) -> list[str]:
         """Return the keys that bar excused controllers from joining.
