--- a/src/cloverplank/shard/machine.py
+++ b/src/cloverplank/shard/machine.py
@@ -7,7 +7,16 @@
 
 from msgspec import Struct, field
 
-from cloverplank.basic_types import DRIFT, NEVER, FencingToken, MachineId, MonotonicTime, TaskRef, Zone, parse_task
+from cloverplank.basic_types import (
+    MAX_CLOCK_DRIFT,
+    NEVER,
+    FencingToken,
+    MachineId,
+    MonotonicTime,
+    TaskRef,
+    Zone,
+    parse_task_name,
+)
 from cloverplank.wire.workers import Heartbeat, TaskStatus
 
 log = logging.getLogger(__name__)
@@ -142,7 +151,7 @@
         self.reported_tasks = heartbeat.tasks
         self.tasks = {}
         for status in heartbeat.tasks:
-            parsed = parse_task(status.task, status.attempt)
+            parsed = parse_task_name(status.task, status.attempt)
             if parsed is not None:
                 self.tasks[parsed] = status
         self.first_seen = {ref: self.first_seen.get(ref, now) for ref in self.tasks}
@@ -179,7 +188,7 @@
         owner's token, it is no earlier than the expiry of a lease that a former owner's last possible response renewed
         (`unfenced_expiry_at`).
         """
-        expiry_at = MonotonicTime(self.last_response_at + lease_s * (1 + 2 * DRIFT) + EXPIRY_MARGIN_S)
+        expiry_at = MonotonicTime(self.last_response_at + lease_s * (1 + 2 * MAX_CLOCK_DRIFT) + EXPIRY_MARGIN_S)
         return expiry_at if self.fenced else max(expiry_at, unfenced_expiry_at)
 
     def remember_image(self, image: str, size_gb: float, cache_gb: float) -> None:
--- a/tests/shard/test_former_owners.py
+++ b/tests/shard/test_former_owners.py
@@ -67,7 +67,7 @@
 
     def reload_cache(self) -> None:
         """Notify the controller that its cache was reloaded."""
-        self.controller._key_changed("")
+        self.controller._on_key_changed("")
 
     def cycle(self) -> None:
         """Run the first steps of a scheduling cycle."""
