--- a/tests/loopback/__init__.py
+++ b/tests/loopback/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes of this program on loopback, beside stand-ins of key-value store, cloud and workers on real sockets."""
+"""Tests with controller processes on loopback; key-value store, cloud and workers are simulated behind real sockets."""
--- a/tests/loopback/cluster.py
+++ b/tests/loopback/cluster.py
@@ -1,8 +1,8 @@
-"""The simulated world with its parts on real sockets, in real time.
+"""A cluster of controller processes with simulated key-value store, cloud and workers, in real time.
 
-Controllers are processes that this harness starts and ends by their ids. The key-value store, the cloud and the workers
-are the stand-ins of the simulated world, each behind an HTTP server on a loopback address of its own. Links between
-controllers go through relays, which can be cut.
+The harness starts the controllers and ends them by their process ids. The key-value store, the cloud and the workers
+are the simulated ones, each behind an HTTP server with its own loopback address. Connections between controllers go
+through relays, which can be cut.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 MAX_CONNECTIONS = 2000
 POLL_S = 0.1
-CLOSING_S = 0.5  # until the stand-ins have seen that nobody asks any more
+CLOSE_DELAY_S = 0.5  # lets the simulated services notice that no controller is connected
 CAPACITY, SCALE = 40, 8.0
 
 Handler = Callable[[Request], Awaitable[Response]]
@@ -38,14 +38,14 @@
 
 
 class LoopbackCluster(World):
-    """A world whose controllers are processes; `listen` must be called before they can do anything.
+    """A world whose controllers are processes; `listen` must be called before they start any work.
 
     Args:
-        seed: of the choices of the harness; real processes make a run differ all the same.
-        folder: where settings and logs of the controllers are written.
-        programs: checkouts by name.
-        first: the name of the program that every controller begins with.
-        operator: the operators' settings as text, for controllers that are started from then on.
+        seed: for the random choices of the harness; runs still differ, since processes run in real time.
+        folder: the folder for the settings files and logs of the controllers.
+        programs: source folders of the program's versions, by name.
+        first: the name of the program that every controller runs at first.
+        operator: the text of the operators' settings for the controllers that are started next.
 
     """
 
@@ -66,7 +66,7 @@
         labels = [f"c-{number}" for number in range(controllers)]
         self.folder = folder
         self.programs = programs
-        self.program = dict.fromkeys(labels, first)
+        self.program_of = dict.fromkeys(labels, first)
         self.operator_text = operator
         self.addresses = Addresses(labels)
         self.processes: dict[str, Process] = {}
@@ -77,9 +77,9 @@
         self.relays: dict[tuple[str, str], Relay] = {}  # by sender and receiver
         self.cut_zones: set[str] = set()
         super().__init__(seed, zones=zones, capacity=CAPACITY, scale=SCALE, controllers=controllers, cpu=cpu)
-        self.began = self.now()
+        self.started_at = self.now()
 
-    # -- stand-ins
+    # -- simulated services
 
     async def listen(self) -> None:
         """Start the servers of the key-value store and the cloud, and the relays between controllers."""
@@ -101,7 +101,7 @@
 
     def _store_handler(self, label: str) -> Handler:
         async def handle(request: Request) -> Response:
-            await self._while_cut(self.home[label])
+            await self._wait_while_cut(self.home[label])
             status, value = await self.state.handle(label, request.method, _target(request), request.body)
             return Response(status, msgspec.msgpack.encode(value))
 
@@ -112,7 +112,7 @@
         return Response(status, msgspec.msgpack.encode(value))
 
     def boot(self, type_name: str, zone: str, spot: bool) -> str:
-        """Start a machine whose worker takes commands on a socket."""
+        """Start a machine whose worker accepts commands on a socket."""
         name = super().boot(type_name, zone, spot)
         machine = self.machines[name]
         machine.addr = self.addresses.worker(self.cloud.number)
@@ -123,8 +123,8 @@
         async def handle(request: Request) -> Response:
             if request.method != "POST":
                 return Response(200, msgspec.msgpack.encode(machine.heartbeat()))
-            if self._is_from_outside(machine, request.body):
-                await self._while_cut(machine.zone)
+            if self._is_command_across_partition(machine, request.body):
+                await self._wait_while_cut(machine.zone)
             status, value = await machine.commands(request.body)
             return Response(status, msgspec.msgpack.encode(value))
 
@@ -136,23 +136,23 @@
     async def send(
         self, src: str, addr: str, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> Response:
-        """Carry a request of a user or a worker to a controller."""
+        """Send a request of a user or a worker to a controller, unless a partition separates them."""
         label = addr.removeprefix("front:")
-        if src in self.machines and self._is_apart(self.machines[src].zone, self.home[label]):
+        if src in self.machines and self._is_partitioned(self.machines[src].zone, self.home[label]):
             await asyncio.sleep(timeout)
-            raise NoResponseError("cut")
+            raise NoResponseError(f"{src} can't reach {label}: the link is cut")
         response = await self.client.request(self.addresses.front(label), method, path, body, timeout)
         if path == "/v1/report" and response.status == 200:
             self.rules.commands_sent(label, msgspec.msgpack.decode(response.body)["orders"])
         return response
 
-    # -- zones that are cut off
+    # -- partitions of zones
 
     def cut_zone(self, zone: str) -> None:
-        """Partition a zone: its controllers and machines reach one another and nobody else."""
+        """Partition a zone: its controllers and machines reach only one another."""
         self.cut_zones.add(zone)
         for (src, dst), relay in self.relays.items():
-            if self._is_apart(self.home[src], self.home[dst]):
+            if self._is_partitioned(self.home[src], self.home[dst]):
                 relay.cut()
 
     def heal_zones(self) -> None:
@@ -161,35 +161,38 @@
         for relay in self.relays.values():
             relay.heal()
 
-    def _is_apart(self, one: str, other: str) -> bool:
+    def _is_partitioned(self, one: str, other: str) -> bool:
         return one != other and bool({one, other} & self.cut_zones)
 
-    async def _while_cut(self, zone: str) -> None:
+    async def _wait_while_cut(self, zone: str) -> None:
         while zone in self.cut_zones:
             await asyncio.sleep(POLL_S)
 
-    def _is_from_outside(self, machine: Machine, body: bytes) -> bool:
-        """Return whether a command comes from another zone, by its token, since nothing else names its sender.
+    def _is_command_across_partition(self, machine: Machine, body: bytes) -> bool:
+        """Return whether a command crosses a partition, by its token, since nothing else identifies its sender.
 
-        That is so if the token is the one of the zone's newest shard assignment, and its owner is in another zone.
+        It does if the token is that of the newest assignment of the zone's shard and a partition separates the owner
+        from the machine.
         """
         token = msgspec.msgpack.decode(body)["baton"]
         found = self.state.items.get(f"cp/block/{machine.zone}")
-        return found is not None and token == found[1] and self._is_apart(machine.zone, self.home[found[0]["node"]])
+        return (
+            found is not None and token == found[1] and self._is_partitioned(machine.zone, self.home[found[0]["node"]])
+        )
 
     # -- controllers
 
     def start(self, label: str) -> None:
-        """Start a process of the controller's program, unless there is one."""
+        """Start a process of the controller's program, unless one is running."""
         if label in self.processes:
             return
-        program = self.program[label]
+        program = self.program_of[label]
         (self.folder / f"{label}.toml").write_text(self._settings(label))
         (self.folder / f"{label}.txtpb").write_text(self.operator_text)
         self.processes[label] = Process.start(label, program, self.programs[program], self.folder)
 
     def peers_text(self, label: str) -> str:
-        """Return the peers of a controller as its settings name them: each behind a relay."""
+        """Return the peers section of a controller's settings, with a relay's address for each peer."""
         return "".join(
             f'[[peers]]\nlabel = "{other}"\nlocation = "{self.home[other]}"\n'
             f'peer_addr = "{self.addresses.relay(label, other)}"\n'
@@ -198,7 +201,7 @@
         )
 
     def _settings(self, label: str) -> str:
-        """Return the settings of the simulated world with loopback addresses, shorter times and smaller values."""
+        """Return the settings of the simulated world with loopback addresses, shorter times and a lower `value_kb`."""
         return (
             self.settings_text(label, self.peers_text(label))
             .replace("10.0.0.1:8080", self.addresses.front(label))
@@ -213,39 +216,39 @@
         )
 
     def crash(self, label: str) -> None:
-        """End a controller's process, if it runs, and note it."""
+        """Kill a controller's process, if there is one, and record it in `kills`."""
         process = self.processes.pop(label, None)
         if process is not None:
-            self.kills.append(Kill(self.now() - self.began, label, process.program, self.phase()))
+            self.kills.append(Kill(self.now() - self.started_at, label, process.program, self.phase()))
             process.kill()
 
     def start_all(self) -> None:
-        """Start the controllers that do not run: a fault may have been cancelled between end and start."""
+        """Start the controllers that are not running: a fault may be cancelled between the end and the start of one."""
         for label in self.labels:
             self.start(label)
 
     async def run_program(self, label: str, program: str, after_s: float) -> None:
-        """End a controller's process and start it again, perhaps as another program."""
+        """Kill a controller's process and start it again after `after_s`, with the given program."""
         self.crash(label)
-        self.program[label] = program
+        self.program_of[label] = program
         await asyncio.sleep(after_s)
         self.start(label)
 
     def pause(self, label: str) -> None:
-        """Stop a controller's process until it is resumed."""
+        """Suspend a controller's process until it is resumed."""
         self.processes[label].pause()
 
     def resume(self, label: str) -> None:
-        """Let a paused controller continue, if it still runs."""
+        """Let a paused controller continue, if it has a process."""
         if label in self.processes:
             self.processes[label].resume()
 
-    def ended_by_themselves(self) -> list[str]:
-        """Return the controllers whose processes ended without being told to."""
+    def unexpectedly_ended(self) -> list[str]:
+        """Return the controllers whose processes ended without being killed by the harness."""
         return [label for label, process in self.processes.items() if process.has_ended]
 
     async def command(self, *arguments: str, exit_code: int = 0) -> str:
-        """Run a command of this program beside the cluster at work; return what it prints."""
+        """Run a command of this program while the cluster is running; return what it prints."""
         config = str(self.folder / f"{self.labels[0]}.toml")
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -258,14 +261,14 @@
             stderr=asyncio.subprocess.STDOUT,
         )
         out, _ = await process.communicate()
-        assert process.returncode == exit_code, out
+        assert process.returncode == exit_code, (arguments, process.returncode, out)
         return out.decode()
 
     async def close(self) -> None:
-        """End every process, by its id, and all stand-ins."""
+        """Kill every process, by its id, and stop all simulated services."""
         for process in self.processes.values():
             process.kill()
-        await asyncio.sleep(CLOSING_S)
+        await asyncio.sleep(CLOSE_DELAY_S)
         for server in self.servers:
             server.close()
         for task in list(self.tasks):
--- a/tests/loopback/measure.py
+++ b/tests/loopback/measure.py
@@ -1,9 +1,9 @@
-"""Long runs on loopback, outside CI: how long a rollout takes, what it commits and what replicas miss meanwhile.
+"""Measures on loopback, outside CI: the time and commits of a rollout, and the replicas that are missing meanwhile.
 
     python3 -m tests.loopback.measure --seeds 1-10 --controllers 3
 
-Each seed is played with the staged rollout and, on the same seed, as the same upgrade by the project's version
-before there was one. One JSON line a run.
+Each seed is run with the staged rollout, and with the same upgrade to the last version without a staged rollout.
+Prints one JSON line for each run.
 """
 
 from __future__ import annotations
@@ -21,36 +21,36 @@
 
 from tests.loopback import programs
 from tests.loopback.cluster import LoopbackCluster
-from tests.loopback.load import POLL_S, STUCK_S, all_ready, serving, under_load
-from tests.loopback.rollouts import crash_at_random, settings
+from tests.loopback.load import POLL_S, TIMEOUT_S, running_cluster, under_load, wait_until_all_ready
+from tests.loopback.rollouts import crash_at_random, operator_settings
 
-BEFORE = "763e420"  # the last commit with one announced format number and no rollout
+BASELINE_COMMIT = "763e420"  # the last commit with one announced format number and no staged rollout
 CRASHES_EVERY_S = (1.5, 4.0)
 SETTLE_S = 3.0
 
 
 async def _upgrade(
-    cluster: LoopbackCluster, rng: random.Random, program: str, done: Callable[[LoopbackCluster], bool]
+    cluster: LoopbackCluster, rng: random.Random, program: str, is_done: Callable[[LoopbackCluster], bool]
 ) -> dict[str, Any]:
-    """Upgrade the controllers in turn while others crash at random, until `done` says so; return what was measured."""
-    began, revision = cluster.now(), cluster.state.revision
+    """Upgrade the controllers in turn while others crash at random, until `is_done` holds; return the measurements."""
+    started_at, revision = cluster.now(), cluster.state.revision
     crashes = cluster.spawn(crash_at_random(cluster, rng, CRASHES_EVERY_S))
     for label in rng.sample(cluster.labels, len(cluster.labels)):
         await cluster.run_program(label, program, rng.uniform(0.2, 1.0))
         await asyncio.sleep(rng.uniform(0.5, 2.0))
-    exchanged = cluster.now()
-    async with asyncio.timeout(STUCK_S):
-        while not done(cluster):
+    restarted_at = cluster.now()
+    async with asyncio.timeout(TIMEOUT_S):
+        while not is_done(cluster):
             await asyncio.sleep(POLL_S)
     crashes.cancel()
     cluster.start_all()
-    ended = cluster.now()
-    await all_ready(cluster)
+    ended_at = cluster.now()
+    await wait_until_all_ready(cluster)
     await asyncio.sleep(SETTLE_S)
     rollout = [event for event in cluster.state.log if event["stamp"] > revision and event.get("put") == "cp/rollout"]
     return {
-        "exchange_s": round(exchanged - began, 2),
-        "switch_s": round(ended - exchanged, 2),
+        "exchange_s": round(restarted_at - started_at, 2),
+        "switch_s": round(ended_at - restarted_at, 2),
         "rollout_commits": len(rollout),
         "commits": cluster.state.revision - revision,
         "kills": len(cluster.kills) - len(cluster.labels),
@@ -70,36 +70,41 @@
 async def _run(seed: int, controllers: int, program: str, folder: Path) -> dict[str, Any]:
     versions = {
         "production": programs.production(folder),
-        "before": programs.at(BEFORE, folder),
+        "before": programs.at_commit(BASELINE_COMMIT, folder),
         "head": programs.head(),
     }
     cluster = LoopbackCluster(
-        seed, folder=folder, programs=versions, first="production", operator=settings(1), controllers=controllers
+        seed,
+        folder=folder,
+        programs=versions,
+        first="production",
+        operator=operator_settings(1),
+        controllers=controllers,
     )
-    done = _is_finalized if program == "head" else _is_announced
-    async with serving(cluster), under_load(cluster):
+    is_done = _is_finalized if program == "head" else _is_announced
+    async with running_cluster(cluster), under_load(cluster):
         await asyncio.sleep(SETTLE_S)
-        found = await _upgrade(cluster, random.Random(seed), program, done)
-    return found | {"jobs": len(cluster.jobs), "starts": cluster.rules.starts}
+        measured = await _upgrade(cluster, random.Random(seed), program, is_done)
+    return measured | {"jobs": len(cluster.jobs), "starts": cluster.rules.starts}
 
 
 @click.command()
 @click.option("--seeds", default="1-5", help="First and last seed.")
 @click.option("--controllers", default=3, type=click.IntRange(2, 9))
 def main(seeds: str, controllers: int) -> None:
-    """Play each seed with the version before and with the rollout."""
+    """Run each seed with the baseline version and with the staged rollout."""
     first, _, last = seeds.partition("-")
-    rows: dict[str, list[dict]] = {"before": [], "head": []}
+    rows_of: dict[str, list[dict]] = {"before": [], "head": []}
     for seed in range(int(first), int(last or first) + 1):
-        for program, found in rows.items():
+        for program, rows in rows_of.items():
             with tempfile.TemporaryDirectory() as folder:
                 row = asyncio.run(_run(seed, controllers, program, Path(folder)))
-            found.append(row)
+            rows.append(row)
             click.echo(json.dumps({"program": program, "seed": seed, "controllers": controllers} | row))
-    for program, found in rows.items():
-        medians = {name: round(statistics.median(row[name] for row in found), 2) for name in found[0]}
-        worst = max(row["longest_short_s"] for row in found)
-        click.echo(json.dumps({"program": program, "runs": len(found), "median": medians, "worst_short_s": worst}))
+    for program, rows in rows_of.items():
+        medians = {name: round(statistics.median(row[name] for row in rows), 2) for name in rows[0]}
+        worst = max(row["longest_short_s"] for row in rows)
+        click.echo(json.dumps({"program": program, "runs": len(rows), "median": medians, "worst_short_s": worst}))
 
 
 if __name__ == "__main__":
--- a/tests/loopback/measure_suspicion.py
+++ b/tests/loopback/measure_suspicion.py
@@ -1,8 +1,9 @@
-"""Long runs on loopback, outside CI: false verdicts, handover times and duplicated tasks with suspicion on and off.
+"""Measures false verdicts, handover times and duplicated tasks on loopback, outside CI, with suspicion on and off.
 
     python3 -m tests.loopback.measure_suspicion --seeds 1-3 --cycles 4
 
-In each cycle the shard owner is paused shortly, which is no failure, and then paused for long or killed. One JSON line a run.
+In each cycle the shard owner is paused shortly, which must not count as a failure, and then paused for long or killed.
+Prints one JSON line for each run.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 from tests.loopback import programs
 from tests.loopback.cluster import LoopbackCluster
-from tests.loopback.load import STUCK_S, serving, under_load
+from tests.loopback.load import TIMEOUT_S, running_cluster, under_load
 from tests.loopback.test_failure_detection import OPERATOR, SHARD_KEY, SMALL_CPU_CORES, shard_owner
 from tests.membership.scenarios import handovers
 
@@ -30,7 +31,7 @@
 LONG_PAUSE_S = 9.0
 
 
-async def _is_short_pause_taken_for_a_failure(cluster: LoopbackCluster, rng: random.Random) -> bool:
+async def _short_pause_causes_handover(cluster: LoopbackCluster, rng: random.Random) -> bool:
     paused, before = shard_owner(cluster), len(handovers(cluster))
     cluster.pause(paused)
     await asyncio.sleep(rng.uniform(*SHORT_PAUSE_S))
@@ -40,17 +41,17 @@
 
 
 async def _time_without_shard_owner(cluster: LoopbackCluster, rng: random.Random) -> float:
-    """Pause the shard owner for long or crash it; return the seconds until another one is committed."""
-    failed, began = shard_owner(cluster), cluster.now()
+    """Pause the shard owner for long or crash it; return the seconds until another owner is committed."""
+    failed, started_at = shard_owner(cluster), cluster.now()
     is_crash = rng.random() < 0.5
     if is_crash:
         cluster.crash(failed)
     else:
         cluster.pause(failed)
-    async with asyncio.timeout(STUCK_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while SHARD_KEY not in cluster.state.items or shard_owner(cluster) == failed:
             await asyncio.sleep(POLL_S)
-    seconds = cluster.now() - began
+    seconds = cluster.now() - started_at
     await asyncio.sleep(max(0.0, LONG_PAUSE_S - seconds))
     if is_crash:
         cluster.start(failed)
@@ -60,9 +61,9 @@
 
 
 async def _cycle(cluster: LoopbackCluster, rng: random.Random) -> tuple[bool, float]:
-    """Return whether the short pause was taken for a failure, and how long the zone had no shard owner."""
+    """Return whether a short pause caused a handover, and the seconds without a shard owner after a failure."""
     await asyncio.sleep(SETTLE_S + rng.uniform(0.0, 1.0))
-    is_false_verdict = await _is_short_pause_taken_for_a_failure(cluster, rng)
+    is_false_verdict = await _short_pause_causes_handover(cluster, rng)
     return is_false_verdict, await _time_without_shard_owner(cluster, rng)
 
 
@@ -73,11 +74,11 @@
         seed, folder=folder, programs=versions, first="head", operator=operator, cpu=SMALL_CPU_CORES
     )
     rng = random.Random(seed)
-    async with serving(cluster), under_load(cluster):
-        found = [await _cycle(cluster, rng) for _ in range(cycles)]
+    async with running_cluster(cluster), under_load(cluster):
+        results = [await _cycle(cluster, rng) for _ in range(cycles)]
     return {
-        "false_verdicts": sum(is_false_verdict for is_false_verdict, _ in found),
-        "handover_s": [round(seconds, 2) for _, seconds in found],
+        "false_verdicts": sum(is_false_verdict for is_false_verdict, _ in results),
+        "handover_s": [round(seconds, 2) for _, seconds in results],
         "duplicated": cluster.rules.violations["ran_twice"],
         "starts": cluster.rules.starts,
         "missed_replica_s": round(cluster.replicas.missed_s(), 1),
@@ -88,7 +89,7 @@
 @click.option("--seeds", default="1-3", help="First and last seed.")
 @click.option("--cycles", default=4, type=click.IntRange(1, 100))
 def main(seeds: str, cycles: int) -> None:
-    """Play each seed with suspicion off and on."""
+    """Run each seed with suspicion off and on."""
     first, _, last = seeds.partition("-")
     times = {False: DDSketch(0.01), True: DDSketch(0.01)}
     for seed in range(int(first), int(last or first) + 1):
--- a/tests/loopback/processes.py
+++ b/tests/loopback/processes.py
@@ -1,4 +1,4 @@
-"""Processes of controllers on loopback: started, paused and ended by their own ids."""
+"""Controller processes on loopback, which are started, paused and killed by their process ids."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 @dataclass
 class Kill:
-    """A controller's process that the harness ended, and the phase of the rollout at that time."""
+    """A kill of a controller's process by the harness; `at_s` is relative to the start of the cluster.
+
+    `phase` is the committed phase of the rollout at that time.
+    """
 
     at_s: float
     label: str
@@ -22,7 +25,7 @@
 
 @dataclass
 class Process:
-    """A controller's process, and the name of the program that it runs."""
+    """A controller's process; `program` is the name of the version that it runs."""
 
     label: str
     program: str
@@ -45,16 +48,16 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the process has ended by itself."""
+        """Whether the process has ended."""
         return self.popen.poll() is not None
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         self.popen.kill()
         self.popen.wait()
 
     def pause(self) -> None:
-        """Stop the process until it is resumed."""
+        """Suspend the process until it is resumed."""
         self.popen.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
--- a/tests/loopback/programs.py
+++ b/tests/loopback/programs.py
@@ -1,4 +1,4 @@
-"""Sources of several versions of this program, taken from the repository's own history."""
+"""Sources of several versions of this program, taken from the history of the repository."""
 
 from __future__ import annotations
 
@@ -23,34 +23,34 @@
     return _extract(commit, folder / "production")
 
 
-def at(commit: str, folder: Path) -> Path:
-    """Check out the version of any commit."""
+def at_commit(commit: str, folder: Path) -> Path:
+    """Check out the version of a commit."""
     return _extract(commit, folder / commit)
 
 
 def head() -> Path:
-    """Return this checkout, as it stands."""
+    """Return the root of this checkout, with its uncommitted changes."""
     return ROOT
 
 
 def head_with_one_more_gate(folder: Path) -> Path:
-    """Copy this checkout with one more feature in its registry, and so one more cluster version."""
+    """Copy this checkout and add a feature to its registry, and thereby a cluster version."""
     target = folder / "one-more-gate"
     if not target.is_dir():
         shutil.copytree(ROOT / "src", target / "src", ignore=shutil.ignore_patterns("__pycache__", "*.egg-info"))
         shutil.copy(ROOT / "run.py", target / "run.py")
         gates = target / "src" / "cloverplank" / "feature_gates.py"
         text = gates.read_text("utf-8")
-        assert INSERT_BEFORE in text
+        assert INSERT_BEFORE in text, f"{gates} does not contain {INSERT_BEFORE!r}"
         gates.write_text(text.replace(INSERT_BEFORE, ONE_MORE_GATE + INSERT_BEFORE, 1), "utf-8")
     return target
 
 
 def _extract(commit: str, target: Path) -> Path:
     if not target.is_dir():
-        packed = subprocess.run(
+        archived = subprocess.run(
             ["git", "archive", commit, "run.py", "src"], cwd=ROOT, capture_output=True, check=True, timeout=60
         )
-        with tarfile.open(fileobj=io.BytesIO(packed.stdout)) as archive:
+        with tarfile.open(fileobj=io.BytesIO(archived.stdout)) as archive:
             archive.extractall(target, filter="data")
     return target
--- a/tests/loopback/relay.py
+++ b/tests/loopback/relay.py
@@ -1,6 +1,7 @@
-"""A link between two controllers on loopback that can be cut, delay what it carries, or drop connections, by a seed.
+"""A TCP relay between two controllers on loopback that can be cut, delay data or drop connections.
 
-What is sent while it is cut is held, as behind a packet filter. Times are seconds of real time.
+Delays and drops are drawn from a seeded generator. Data that is sent while the relay is cut is held back, as
+by a packet filter. Times are seconds of real time.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 
 
 class Relay:
-    """Listens on one address and passes bytes on to another, both ways, while the link is open."""
+    """Listens on one address and forwards bytes to another, in both directions, unless it is cut."""
 
     def __init__(self, target: str, rng: random.Random) -> None:
         self._rng = rng
-        self.delay_s = 0.0  # the longest additional delay of a piece
-        self.drop_fraction = 0.0  # of the pieces, with which the connection is lost
+        self.delay_s = 0.0  # upper bound of the additional delay of a chunk
+        self.drop_fraction = 0.0  # fraction of the chunks that abort the connection
         host, _, port = target.partition(":")
         self._host, self._port = host, int(port)
         self._open = asyncio.Event()
@@ -26,16 +27,16 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def listen(self, address: str) -> asyncio.Server:
-        """Begin to accept connections at an address."""
+        """Start to accept connections at an address."""
         host, _, port = address.partition(":")
         return await asyncio.start_server(self._serve, host, int(port))
 
     def cut(self) -> None:
-        """Hold everything that is sent from now on."""
+        """Hold back all data that is sent from now on."""
         self._open.clear()
 
     def heal(self) -> None:
-        """Pass on what was held, and what follows."""
+        """Forward the data that was held back, and all data that follows."""
         self._open.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -46,11 +47,11 @@
             writer.close()
             return
         with contextlib.suppress(OSError):
-            await asyncio.gather(self._pass_on(reader, target_writer), self._pass_on(target_reader, writer))
+            await asyncio.gather(self._forward(reader, target_writer), self._forward(target_reader, writer))
         writer.close()
         target_writer.close()
 
-    async def _pass_on(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while data := await reader.read(CHUNK_BYTES):
             await self._open.wait()
             if self._rng.random() < self.drop_fraction:
--- a/tests/loopback/replicas.py
+++ b/tests/loopback/replicas.py
@@ -1,4 +1,4 @@
-"""Measures how long the replicas of services are missing."""
+"""Measures for how long replicas of services are missing."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
 
 @dataclass
 class ReplicaGap:
-    """Replicas of one service that were missing since all of them ran for the first time.
+    """Time for which replicas of a service were missing since all of them ran for the first time.
 
-    `longest_s` is the longest time for which any was missing, `missed_s` the sum over replicas and time.
+    `longest_s` is the longest time for which any replica was missing, `missed_s` the sum of replica-seconds.
     """
 
-    full_at: float | None = None
-    short_since: float | None = None
+    first_complete_at: float | None = None
+    incomplete_since: float | None = None
     longest_s: float = 0.0
     missed_s: float = 0.0
 
     def sample(self, now: float, running: int, wanted: int) -> None:
-        """Note how many replicas run."""
+        """Record how many replicas are running."""
         if running == wanted:
-            self.full_at = self.full_at or now
-            self.short_since = None
-        elif self.full_at is not None:
-            self.short_since = self.short_since or now
-            self.longest_s = max(self.longest_s, now - self.short_since)
+            self.first_complete_at = self.first_complete_at or now
+            self.incomplete_since = None
+        elif self.first_complete_at is not None:
+            self.incomplete_since = self.incomplete_since or now
+            self.longest_s = max(self.longest_s, now - self.incomplete_since)
             self.missed_s += SAMPLE_S * (wanted - running)
 
 
 class ReplicaMonitor:
-    """Samples all accepted services of a cluster that nobody has cancelled."""
+    """Samples all accepted services of a cluster for which no user has requested cancellation."""
 
     def __init__(self, cluster: LoopbackCluster) -> None:
         self._cluster = cluster
@@ -52,11 +52,11 @@
             await asyncio.sleep(SAMPLE_S)
 
     def longest_s(self) -> float:
-        """Return the longest time for which a service missed a replica."""
+        """Return the longest time for which a service had a missing replica, in seconds."""
         return max((gap.longest_s for gap in self.gaps.values()), default=0.0)
 
     def missed_s(self) -> float:
-        """Return the replica time that was missed in all."""
+        """Return the total time of missing replicas, in replica-seconds."""
         return sum(gap.missed_s for gap in self.gaps.values())
 
     def _sample(self, job: str, wanted: int) -> None:
--- a/tests/loopback/test_failure_detection.py
+++ b/tests/loopback/test_failure_detection.py
@@ -1,7 +1,7 @@
-"""Failure detection on loopback: real controllers are paused by signals, or behind links that delay and drop.
+"""Failure detection on loopback: controller processes are paused by signals, or their links delay and drop data.
 
-A controller that fails is suspected, its shard is handed over once, and it is fenced on waking. No verdict rests on how
-long something takes.
+A controller that fails is suspected, its shard is handed over once, and it is fenced when it continues. No check
+depends on how long something takes.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 from tests.loopback import programs
 from tests.loopback.cluster import LoopbackCluster
-from tests.loopback.load import STUCK_S, serving, under_load
+from tests.loopback.load import TIMEOUT_S, running_cluster, under_load
 from tests.membership.scenarios import handovers
 
 OPERATOR = "controller_lease_s: 4\nhold_on_margin_s: 3\nsuspicion {{ enabled: {enabled} damp_s: 10 }}\n"
 PAUSE_S = 7.0
-SMALL_CPU_CORES = 0.2  # leader and shard owner are two controllers on such machines
+SMALL_CPU_CORES = 0.2  # with so few cores leader and shard owner are different controllers
 SHARD_KEY, LEADER_KEY = "cp/block/zone-0", "cp/leader"
-# Longest delay in seconds of a piece of a message, and the fraction of pieces with which the connection is lost.
+# The longest delay of a chunk in seconds, and the fraction of chunks that abort the connection.
 LINK_FAULTS = ((0.1, 0.0), (0.3, 0.0), (0.6, 0.0), (0.1, 0.1), (0.1, 0.5))
 
 
@@ -36,25 +36,25 @@
     return cluster.state.items[LEADER_KEY][0]["node"]
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    """Wait until something is so."""
-    async with asyncio.timeout(STUCK_S):
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait until a condition holds."""
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.02)
 
 
 async def separate_shard_owner(cluster: LoopbackCluster) -> str:
-    """Return the shard owner, once there is one, which is not the leader on small machines."""
-    await until(lambda: SHARD_KEY in cluster.state.items and LEADER_KEY in cluster.state.items)
+    """Wait for a shard owner and a leader, and return the shard owner, which is not the leader on small machines."""
+    await wait_until(lambda: SHARD_KEY in cluster.state.items and LEADER_KEY in cluster.state.items)
     assert shard_owner(cluster) != leader(cluster)
     return shard_owner(cluster)
 
 
 async def paused_shard_owner(cluster: LoopbackCluster) -> None:
-    """Pause the shard owner in the midst of work; it continues after the verdict with all that it had in hand."""
+    """Pause the shard owner while it works, and resume it, with its pending work, after the shard was handed over."""
     former = await separate_shard_owner(cluster)
     cluster.pause(former)
-    await until(lambda: SHARD_KEY in cluster.state.items and shard_owner(cluster) != former)
+    await wait_until(lambda: SHARD_KEY in cluster.state.items and shard_owner(cluster) != former)
     await asyncio.sleep(PAUSE_S / 2)
     cluster.resume(former)
     await asyncio.sleep(3)
@@ -62,20 +62,20 @@
 
 
 async def short_pauses_then_crash(cluster: LoopbackCluster) -> None:
-    """Pause the shard owner shortly, which is no failure, then crash it."""
+    """Pause the shard owner shortly, which must not count as a failure, then crash it."""
     former = await separate_shard_owner(cluster)
     for _ in range(3):
         cluster.pause(former)
         await asyncio.sleep(0.6)
         cluster.resume(former)
         await asyncio.sleep(1.5)
-    assert not handovers(cluster), "a pause of half a second is no failure"
+    assert not handovers(cluster), "a pause of 0.6 s caused a handover"
     await cluster.run_program(former, "head", 2.0)
-    await until(lambda: SHARD_KEY in cluster.state.items and shard_owner(cluster) != former)
+    await wait_until(lambda: SHARD_KEY in cluster.state.items and shard_owner(cluster) != former)
 
 
 async def paused_leader(cluster: LoopbackCluster) -> None:
-    """Pause the leader, who suspects others: it must not blame them for what it did not hear."""
+    """Pause the leader, which suspects others: it must not suspect them for messages that it missed while paused."""
     paused = leader(cluster)
     cluster.pause(paused)
     await asyncio.sleep(2.5)
@@ -85,23 +85,23 @@
 
 
 async def links_that_delay_and_drop(cluster: LoopbackCluster) -> None:
-    """Delay messages between controllers more and more, then lose connections."""
+    """Delay data between controllers increasingly, then drop connections."""
     for delay_s, drop_fraction in LINK_FAULTS:
         for relay in cluster.relays.values():
             relay.delay_s, relay.drop_fraction = delay_s, drop_fraction
         await asyncio.sleep(3)
     for relay in cluster.relays.values():
         relay.delay_s = relay.drop_fraction = 0.0
-    await until(lambda: SHARD_KEY in cluster.state.items)
+    await wait_until(lambda: SHARD_KEY in cluster.state.items)
 
 
 def check_handed_over_once(cluster: LoopbackCluster) -> None:
-    """Check that every verdict was taken up by one commit, which assigned the shard anew."""
+    """Check that every verdict has its own commit, which also reassigns the shard."""
     log = cluster.state.log
-    taken = [event["stamp"] for event in log if event.get("put", "").startswith("cp/verdict/")]
+    verdicts = [event["stamp"] for event in log if event.get("put", "").startswith("cp/verdict/")]
     assigned = [event["stamp"] for event in log if event.get("put") == SHARD_KEY]
-    assert len(set(taken)) == len(taken), "each verdict is handed over once"
-    assert set(taken) <= set(assigned), "each verdict is handed over once"
+    assert len(set(verdicts)) == len(verdicts), f"several verdicts in one commit: {verdicts}"
+    assert set(verdicts) <= set(assigned), f"verdicts {verdicts}, shard assignments {assigned}"
 
 
 @pytest.mark.parametrize(
@@ -117,10 +117,10 @@
     cluster = LoopbackCluster(
         21, folder=tmp_path, programs=versions, first="head", operator=operator, cpu=SMALL_CPU_CORES
     )
-    async with serving(cluster):
+    async with running_cluster(cluster):
         async with under_load(cluster):
             await asyncio.sleep(5)
             await scenario(cluster)
         check_handed_over_once(cluster)
-        found = json.loads(await cluster.command("controllers", "status", "--json"))
-        assert [c["name"] for c in found["controllers"] if "zone-0" in c["holds"]] == [shard_owner(cluster)]
+        status = json.loads(await cluster.command("controllers", "status", "--json"))
+        assert [c["name"] for c in status["controllers"] if "zone-0" in c["holds"]] == [shard_owner(cluster)]
--- a/tests/loopback/test_rollout.py
+++ b/tests/loopback/test_rollout.py
@@ -1,6 +1,6 @@
-"""Rollouts of real processes of several versions on loopback, interrupted at seeded random points.
+"""Rollouts of controller processes of several versions on loopback, interrupted at random times from a seed.
 
-The verdict rests on the rules and on the history of commits, never on how long something takes.
+The checks are those of the rules and of the log of commits; none depends on how long something takes.
 """
 
 from __future__ import annotations
@@ -13,8 +13,14 @@
 
 from tests.loopback import programs
 from tests.loopback.cluster import LoopbackCluster
-from tests.loopback.load import serving, under_load
-from tests.loopback.rollouts import Scenario, back_to_production, one_more_gate, rollout_with_a_rollback, settings
+from tests.loopback.load import running_cluster, under_load
+from tests.loopback.rollouts import (
+    Scenario,
+    back_to_production,
+    one_more_gate,
+    operator_settings,
+    rollout_with_a_rollback,
+)
 
 SEED = 7
 
@@ -33,9 +39,11 @@
     "scenario", [rollout_with_a_rollback, back_to_production, one_more_gate], ids=lambda scenario: scenario.__name__
 )
 async def test_rollout_with_mixed_versions(scenario: Scenario, versions: dict[str, Path], tmp_path: Path) -> None:
-    """Every controller begins as production, under load."""
-    cluster = LoopbackCluster(SEED, folder=tmp_path, programs=versions, first="production", operator=settings(1))
-    async with serving(cluster), under_load(cluster):
+    """Every controller starts with the production version, under load."""
+    cluster = LoopbackCluster(
+        SEED, folder=tmp_path, programs=versions, first="production", operator=operator_settings(1)
+    )
+    async with running_cluster(cluster), under_load(cluster):
         await asyncio.sleep(2)
         await scenario(cluster, random.Random(SEED))
     refusal = await cluster.command("rollout", "status", exit_code=1)
--- a/tests/loopback/test_zones.py
+++ b/tests/loopback/test_zones.py
@@ -1,7 +1,7 @@
-"""A zone of real controllers and stand-in machines cut off and back, on loopback.
+"""Partition and recovery of a zone with controller processes and simulated machines, on loopback.
 
-The order of placements and of the return is recorded and compared with the stated one. No verdict rests on how long
-something takes.
+The order of replacements and the steps of the recovery are recorded and compared with the specified ones. No check
+depends on how long something takes.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from tests.loopback import programs
 from tests.loopback.cluster import LoopbackCluster
-from tests.loopback.load import STUCK_S, check, serving
+from tests.loopback.load import TIMEOUT_S, check_run, running_cluster
 from tests.simulation.commit_history import CommitHistory
 from tests.zones.scenarios import BULK_CLASS
 
@@ -24,8 +24,8 @@
 CUT_S = 16.0
 ARRAY_S = 14.0
 LOST_ZONE = "zone-1"
-CAPACITY = 6  # room for about half of the work when a zone is lost
-ESSENTIAL_CLASSES = ("web", "settlement")  # services, and work with a deadline
+CAPACITY = 6  # machines of each kind in a zone: enough for about half of the work if the other zone is lost
+ESSENTIAL_CLASSES = ("web", "settlement")  # services, and jobs with a deadline
 JOB_TYPES = (
     {"shape": "service", "rank": "prod", "lane": "web", "loaners": False},
     {"due_s": 60.0, "rank": "urgent", "lane": "settlement"},
@@ -34,7 +34,7 @@
 
 
 def submit_jobs(cluster: LoopbackCluster) -> list[asyncio.Task[str | None]]:
-    """Submit services, arrays with a deadline and bulk arrays; return the tasks that follow arrays to their ends."""
+    """Submit services, arrays with a deadline and bulk arrays; return a task for each array that waits for its end."""
     arrays = []
     for number in range(1, 19):
         spec = cluster.job(number, pieces=4, vcpus=2.0, **JOB_TYPES[number % len(JOB_TYPES)])
@@ -45,36 +45,36 @@
     return arrays
 
 
-async def health_is(cluster: LoopbackCluster, zone: str, health: str) -> None:
-    """Wait until a verdict on a zone is committed."""
-    async with asyncio.timeout(STUCK_S):
+async def wait_for_health(cluster: LoopbackCluster, zone: str, health: str) -> None:
+    """Wait until the given health of a zone is committed."""
+    async with asyncio.timeout(TIMEOUT_S):
         while cluster.state.items.get(f"cp/zone/{zone}", ({},))[0].get("health") != health:
             await asyncio.sleep(0.05)
 
 
-async def zone_is_used(cluster: LoopbackCluster, zone: str) -> None:
+async def wait_for_tasks_in_zone(cluster: LoopbackCluster, zone: str) -> None:
     """Wait until a machine of a zone has tasks."""
-    async with asyncio.timeout(STUCK_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while not any(machine.zone == zone and machine.tasks for machine in cluster.machines.values()):
             await asyncio.sleep(0.1)
 
 
-async def lose_and_return(cluster: LoopbackCluster) -> None:
-    """Cut a zone off while jobs run, until it is lost, and let it return."""
+async def lose_and_recover_zone(cluster: LoopbackCluster) -> None:
+    """Partition a zone while jobs run until it is lost, then let it recover."""
     arrays = submit_jobs(cluster)
-    await zone_is_used(cluster, LOST_ZONE)
+    await wait_for_tasks_in_zone(cluster, LOST_ZONE)
     await asyncio.sleep(4)
     cluster.cut_zone(LOST_ZONE)
-    await health_is(cluster, LOST_ZONE, "lost")
+    await wait_for_health(cluster, LOST_ZONE, "lost")
     await asyncio.sleep(CUT_S)
     cluster.heal_zones()
-    await health_is(cluster, LOST_ZONE, "healthy")
-    async with asyncio.timeout(STUCK_S):
+    await wait_for_health(cluster, LOST_ZONE, "healthy")
+    async with asyncio.timeout(TIMEOUT_S):
         assert set(await asyncio.gather(*arrays)) == {"done"}
 
 
-def check_return_in_steps(history: CommitHistory) -> None:
-    """Check the verdicts on the zone, and that it was given work again in steps."""
+def check_recovery_in_steps(history: CommitHistory) -> None:
+    """Check the committed health of the zone, and that machines were admitted in steps while it recovered."""
     assert history.healths(LOST_ZONE)[-3:] == ["lost", "recovering", "healthy"]
     verdicts = [put.value for put in history.commits if put.key == f"cp/zone/{LOST_ZONE}"]
     admitted = [value["admitted"] for value in verdicts if value["health"] == "recovering"]
@@ -82,13 +82,13 @@
 
 
 def check_order_of_replacements(history: CommitHistory) -> None:
-    """Check that essential work was replaced before bulk work.
+    """Check that tasks of essential classes were replaced before those of the bulk class.
 
-    Commits of several jobs are on their way at once, so single ones may pass each other; the classes don't.
+    Several jobs are committed concurrently, so single jobs may overtake each other; the mean positions keep the order.
     """
     order = history.first_replacements(LOST_ZONE)
-    essential = [place for place, job_class in enumerate(order) if job_class in ESSENTIAL_CLASSES]
-    bulk = [place for place, job_class in enumerate(order) if job_class == BULK_CLASS]
+    essential = [position for position, job_class in enumerate(order) if job_class in ESSENTIAL_CLASSES]
+    bulk = [position for position, job_class in enumerate(order) if job_class == BULK_CLASS]
     assert not bulk or fmean(essential) < fmean(bulk), order
 
 
@@ -99,8 +99,8 @@
     )
     cluster.capacity = CAPACITY
     history = CommitHistory(cluster, BULK_CLASS)
-    async with serving(cluster):
-        await lose_and_return(cluster)
-        check(cluster)  # `ran_twice` among the rules: no stale copy beside its replacement
-    check_return_in_steps(history)
+    async with running_cluster(cluster):
+        await lose_and_recover_zone(cluster)
+        check_run(cluster)  # its rule `ran_twice`: no stale task runs concurrently with its replacement
+    check_recovery_in_steps(history)
     check_order_of_replacements(history)
