--- a/tests/jobs/test_dependencies.py
+++ b/tests/jobs/test_dependencies.py
@@ -13,20 +13,20 @@
 from cloverplank.jobs.dependencies import (
     ESTIMATE_FACTOR,
     RANKS,
+    DependencyVerdict,
     EffectivePriorities,
     UpstreamState,
-    Verdict,
-    decide,
+    dependency_verdict,
     has_cancelled_upstream,
-    not_in_memory,
     own_priority,
+    upstream_not_in_memory,
 )
 from cloverplank.jobs.records import BlockedJobRecord, JobRecord
 from cloverplank.scheduling.queue import scheduling_order
 from cloverplank.wire.users import JobSpec
 from tests.jobs.specs import spec
 
-LONG_CHAIN = 3000  # jobs: recursion over as many would end the process
+LONG_CHAIN = 3000  # jobs; recursion over so many would end the process
 
 
 def chain_spec(**fields: object) -> JobSpec:
@@ -35,7 +35,7 @@
 
 
 def blocked_jobs(*jobs: tuple[str, list[str], dict[str, object]]) -> BlockedJobs:
-    """Return blocked jobs, each given by its id, its upstream jobs and fields of its description."""
+    """Return blocked jobs, each given as its id, its upstream jobs and the encoded fields of its description."""
     result = BlockedJobs()
     for mod_revision, (name, upstream, fields) in enumerate(jobs, 1):
         record = BlockedJobRecord(chain_spec(id=name, **fields), 1000, upstream)
@@ -50,9 +50,9 @@
 
 @given(st.lists(st.sampled_from(UpstreamState)))
 def test_job_is_released_when_all_upstream_jobs_are_done_and_cancelled_with_any_of_them(states: list) -> None:
-    verdict = decide(states)
-    assert (verdict is Verdict.RELEASE) == (set(states) <= {UpstreamState.DONE})
-    assert (verdict is Verdict.CANCEL) == (UpstreamState.CANCELLED in states)
+    verdict = dependency_verdict(states)
+    assert (verdict is DependencyVerdict.RELEASE) == (set(states) <= {UpstreamState.DONE})
+    assert (verdict is DependencyVerdict.CANCEL) == (UpstreamState.CANCELLED in states)
 
 
 def only_first_is(state: UpstreamState) -> Callable[[JobId], UpstreamState]:
@@ -76,11 +76,11 @@
     def state_of(job: JobId) -> UpstreamState:
         return UpstreamState.NOT_IN_MEMORY if job in ("run-1", "run-9") else UpstreamState.UNFINISHED
 
-    assert sorted(not_in_memory(jobs.jobs[JobId("run-3")], jobs, state_of)) == ["run-1", "run-9"]
+    assert sorted(upstream_not_in_memory(jobs.jobs[JobId("run-3")], jobs, state_of)) == ["run-1", "run-9"]
 
 
 def test_first_job_of_a_chain_inherits_rank_and_due_time_of_the_last() -> None:
-    """The last job is due at 1000 ms + 100 s; its own 10 s and the 20 s of the job before it are subtracted."""
+    """The last job is due at 1000 ms + 100 s, minus its own 10 s and the 20 s of the job before it."""
     jobs = blocked_jobs(
         ("run-2", ["run-1"], {"rank": "idle", "guess_s": 20.0}),
         ("run-3", ["run-2"], {"rank": "urgent", "guess_s": 10.0, "due_s": 100.0}),
@@ -104,7 +104,7 @@
     assert effective_priorities.of(first).due_at is None
 
 
-def test_job_with_urgent_dependents_goes_before_jobs_of_higher_rank_of_its_own() -> None:
+def test_job_with_urgent_dependents_precedes_jobs_of_higher_own_rank() -> None:
     jobs = blocked_jobs(("run-2", ["run-1"], {"rank": "urgent"}))
     first = JobRecord(chain_spec(id="run-1", rank="idle"), 2000)
     other = JobRecord(chain_spec(id="run-5", rank="standard"), 1000)
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: generated jobs against every way to run them."""
+"""Admission control, compared with a search over all splits of generated jobs over zones."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverplank.scheduling.admission import refusal
+from cloverplank.scheduling.admission import rejection_reason
 from cloverplank.scheduling.quotas import Quota
 from cloverplank.wire.cloud import MachineType
 from cloverplank.wire.users import JobSpec
@@ -24,7 +24,7 @@
 
 
 def can_run(job: JobSpec, zones: list[str], limit: Quota) -> bool:
-    """Try every split over zones of as many tasks as must run at the same time."""
+    """Return whether the tasks that must run at the same time can be split over zones, by trying every split."""
     tasks = 1 if job.shape == "batch" else job.tasks
     if tasks * job.cpus > limit.cpus or tasks * job.gpus > limit.gpus:
         return False
@@ -69,7 +69,7 @@
 )
 def test_job_is_refused_exactly_if_no_split_can_ever_run_it(job: JobSpec, count: int, limit: Quota) -> None:
     zones = ZONES[:count]
-    assert bool(refusal(job, {"red": limit}, TYPES, zones)) is not can_run(job, zones, limit)
+    assert bool(rejection_reason(job, {"red": limit}, TYPES, zones)) is not can_run(job, zones, limit)
 
 
 def test_repeated_submission_of_an_accepted_job_is_never_refused() -> None:
