--- a/src/cloverplank/settings/__init__.py
+++ b/src/cloverplank/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings that the platform hands over, and the operators' own settings."""
+"""The platform's settings, and the operators' own settings."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class InvalidSettingsError(CloverplankError):
-    """Settings that can't be used; the message is one line.
+    """Settings are invalid; the message is one line.
 
     `field` names the setting at fault and `file` the file that it stands in, where they are known.
     """
@@ -21,5 +21,5 @@
         self.file = file
 
     def in_file(self, file: Path) -> InvalidSettingsError:
-        """Return the same error of a file."""
+        """Return the same error with the file that the settings were read from."""
         return InvalidSettingsError(self.problem, field=self.field, file=file)
--- a/src/cloverplank/settings/blocks.py
+++ b/src/cloverplank/settings/blocks.py
@@ -1,7 +1,7 @@
-"""What the declarations of the operators' settings share: ranges of numbers, blocks `name { ... }`, message types.
+"""Declarations shared by the operators' settings: numbers with ranges, blocks `name { ... }`, message types.
 
 The message types for protobuf's text format are built from the declarations. Importing protobuf takes a noticeable part
-of a process's start, so this module does so only when a schema is made.
+of a process's start, so this module imports it only when a schema is built.
 """
 
 from __future__ import annotations
@@ -33,11 +33,14 @@
 
     @property
     def range_text(self) -> str:
-        """Return the range as operators read it."""
+        """Return the range as text for operators."""
         return f"{self.minimum:g} to {self.maximum:g}"
 
     def read(self, message: Message, block: str = "") -> float:
-        """Return the value in a message, or the default where it is absent. Raises InvalidSettingsError."""
+        """Return the value in a message, or the default where it is absent.
+
+        Raises InvalidSettingsError where the value is out of its range.
+        """
         value: float = getattr(message, self.name) if message.HasField(self.name) else self.default
         field_name = f"{block}.{self.name}" if block else self.name
         check_range(field_name, value, minimum=self.minimum, maximum=self.maximum)
@@ -82,7 +85,7 @@
 
 
 class FieldLabel(Enum):
-    """How often a field stands in a message, by protobuf's name for it."""
+    """How often a field may occur in a message, by protobuf's name for it."""
 
     OPTIONAL = "LABEL_OPTIONAL"
     REQUIRED = "LABEL_REQUIRED"
@@ -98,7 +101,7 @@
     def add(
         self, name: str, field_type: FieldType, label: FieldLabel = FieldLabel.OPTIONAL, *, message_type: str = ""
     ) -> None:
-        """Add a field; `message_type` names the type of one that is a message."""
+        """Add a field; `message_type` names the message type of a field of type MESSAGE."""
         added = self._descriptor.field.add(name=name, number=len(self._descriptor.field) + 1)
         added.type = added.Type.Value(field_type.value)
         added.label = added.Label.Value(label.value)
@@ -112,7 +115,7 @@
 
 
 class FileSchema:
-    """All message types of the operators' file."""
+    """The schema of the operators' file: all its message types."""
 
     def __init__(self) -> None:
         from google.protobuf import descriptor_pb2  # noqa: PLC0415, RUF100
@@ -125,7 +128,7 @@
         return MessageSchema(self._file.message_type.add(name=name))
 
     def message_class(self, name: str) -> type[Message]:
-        """Return the class of messages of a type."""
+        """Return the class that represents messages of a type."""
         from google.protobuf import descriptor_pool, message_factory  # noqa: PLC0415, RUF100
 
         pool = descriptor_pool.DescriptorPool()
--- a/src/cloverplank/settings/failure_detection.py
+++ b/src/cloverplank/settings/failure_detection.py
@@ -20,9 +20,10 @@
 
 @dataclass(frozen=True)
 class FailureDetectionSettings:
-    """When a silent controller is suspected and counts as faulty, and for how long it then gets no shards.
+    """Levels at which a silent controller is suspected and declared faulty, and for how long it then gets no shards.
 
-    A level is a time of silence, in units of an interval between messages that few intervals exceed.
+    A level is the time without a message, as a multiple of an interval that few intervals between messages exceed.
+    `damp_s` is in seconds.
     """
 
     enabled: bool = False
@@ -33,9 +34,9 @@
     def text(self) -> list[str]:
         """Return the block in the file's format, line by line, with comments on its fields."""
         return [
-            "# suspicion: a controller that peers hear no more is suspected, judged and handed over from",
-            "# (docs/suspicion.md); levels in usual intervals of hints; damp_s: until it gets blocks again, doubled",
-            "# with each verdict",
+            "# suspicion: a controller whose messages stop is suspected, declared faulty and loses its shards",
+            "# (docs/suspicion.md); levels: multiples of the usual interval of gossip; damp_s: time until it gets",
+            "# shards again, doubled with each verdict",
             *opening_text(BLOCK, self, NUMBERS),
             "}",
         ]
--- a/src/cloverplank/settings/operator.py
+++ b/src/cloverplank/settings/operator.py
@@ -29,100 +29,100 @@
         0.0,
         minimum=0.0,
         maximum=600.0,
-        doc="silence after which a machine is tainted and evicted; 0: as soon as its lease has run out",
+        doc="time without heartbeats after which a machine is tainted and evicted; 0: as soon as its lease expires",
     ),
     NumberSetting(
         "no_new_after_reports",
         1.7,
         minimum=1.0,
         maximum=20.0,
-        doc="report periods of silence after which a machine gets no new tasks",
+        doc="heartbeat intervals without a heartbeat after which a machine gets no new tasks",
     ),
     NumberSetting(
         "release_silent_reports",
         1.7,
         minimum=0.0,
         maximum=100.0,
-        doc="report periods of silence after which a machine with tasks is asked directly and, without an answer, "
-        "released; 0: never",
+        doc="heartbeat intervals without a heartbeat after which a machine with tasks is probed directly and, without "
+        "a response, declared lost; 0: never",
     ),
     NumberSetting(
         "eviction_limit_s",
         600.0,
         minimum=1.0,
         maximum=86400.0,
-        doc="age at which an eviction entry is dropped although no replacement is healthy",
+        doc="age at which an eviction entry is dropped even if no replacement is healthy",
     ),
     NumberSetting(
         "controller_lease_s",
         4.0,
         minimum=1.0,
         maximum=60.0,
-        doc="life of a controller's lease in the state service",
+        doc="time to live of a controller's lease in the key-value store",
     ),
     NumberSetting(
         "hold_on_margin_s",
         5.0,
         minimum=1.0,
         maximum=60.0,
-        doc="cancel_s less lease_s less this: how long a holder without the state service answers reports",
+        doc="cancel_s minus lease_s minus this: how long a shard owner without the key-value store answers heartbeats",
     ),
     NumberSetting(
         "idle_release_s",
         12.0,
         minimum=0.0,
         maximum=3600.0,
-        doc="idle time after which an ordinary machine is returned",
+        doc="idle time after which an on-demand machine is terminated",
     ),
     NumberSetting(
         "idle_release_spot_s",
         25.0,
         minimum=0.0,
         maximum=3600.0,
-        doc="idle time after which a spot machine is returned",
+        doc="idle time after which a spot machine is terminated",
     ),
     NumberSetting(
         "headroom_factor",
         1.6,
         minimum=0.0,
         maximum=10.0,
-        doc="room kept ready for classes that should start at once: times two jobs of mean size",
+        doc="capacity kept ready for classes that should start at once, as a multiple of two jobs of mean size",
     ),
     NumberSetting(
         "headroom_least_tasks",
         2.0,
         minimum=0.0,
         maximum=1000.0,
-        doc="room kept ready for such a class at the least, in tasks",
+        doc="minimum capacity kept ready for such a class, in tasks",
     ),
     NumberSetting(
         "trusted_capacity",
         0.8,
         minimum=0.0,
         maximum=1.0,
-        doc="part of what is rented that is counted on to do waiting arrays before they are late",
+        doc="fraction of the provisioned capacity that is relied on to finish waiting arrays before they are late",
     ),
     NumberSetting(
         "patience",
         0.4,
         minimum=0.0,
         maximum=1.0,
-        doc="part of its time that a job which may use spot machines waits before it wakes an idle ordinary one",
+        doc="fraction of its time that a job which may use spot machines waits before it uses an idle on-demand one",
     ),
-    NumberSetting("rent_limit", 10000.0, minimum=1.0, maximum=100000.0, doc="machines rented at the most"),
+    NumberSetting("rent_limit", 10000.0, minimum=1.0, maximum=100000.0, doc="maximum number of provisioned machines"),
     NumberSetting(
         "refused_pause_s",
         8.0,
         minimum=1.0,
         maximum=600.0,
-        doc="pause after the cloud refused a type, zone and kind",
+        doc="pause of requests for a machine type in a zone, spot or on-demand, after the cloud refused one",
     ),
     NumberSetting(
         "never_up_factor",
         4.0,
         minimum=1.5,
         maximum=100.0,
-        doc="boot times after which a machine that is not up is returned",
+        doc="multiple of the boot time after which a machine that is not up is terminated",
     ),
     NumberSetting(
         "load_log_s",
@@ -136,16 +136,16 @@
         3.0,
         minimum=1.0,
         maximum=100.0,
-        doc="tasks of different jobs that fail on a machine before it is drained",
+        doc="number of different jobs with failed tasks on a machine at which it is drained",
     ),
 )
 
 
 @dataclass(frozen=True)
 class OperatorSettings:
-    """Effective settings; those of TABLE are attributes by their names.
+    """The settings in force; those of TABLE are attributes by their names.
 
-    `zone_weights` has the static weights of zones in the spread of work over zones.
+    `zone_weights` has the static weight of each zone in the spread of work over zones.
     """
 
     values: dict[str, float] = field(default_factory=lambda: defaults(TABLE))
@@ -171,12 +171,14 @@
             raise InvalidSettingsError(f"{unknown[0]} is no zone of this deployment", field="zone_weight")
 
     def text(self) -> str:
-        """Return the settings in the format that is read, each with its documentation."""
+        """Return the settings in the format of the operators' file, each with its documentation."""
         lines = []
         for setting in TABLE:
             lines.append(f"# {setting.doc} ({setting.range_text})")
             lines.append(f"{setting.name}: {self.values[setting.name]:g}")
-        lines.append("# static weight of a zone in the split, 1 where none is given; may be repeated (0 to 1000)")
+        lines.append(
+            "# static weight of a zone in the spread of work, 1 where none is given; may be repeated (0 to 1000)"
+        )
         for zone, weight in sorted(self.zone_weights.items()):
             lines.append(f'zone_weight {{ zone: "{zone}" weight: {weight:g} }}')
         lines += self.rollout.text()
--- a/src/cloverplank/settings/platform.py
+++ b/src/cloverplank/settings/platform.py
@@ -1,4 +1,4 @@
-"""The settings file (TOML) that the platform hands over."""
+"""The platform's settings file (TOML)."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from cloverplank.basic_types import DRIFT
 from cloverplank.settings import InvalidSettingsError
 
-MIN_MARGIN_S = 1.0  # covers a worker's own lateness, and rounding
-MIN_CONTACT_S = 1.0  # with a shorter bound a shard owner could not do its work
-MIN_VALUE_KB = 1.0  # a smaller value holds no job record
-MIN_CPU = 0.01  # of a core: with less a lease of the shortest life is not renewed in time
-MIN_MEM_MB = 40.0  # the interpreter and the modules take about half of it
+MIN_MARGIN_S = 1.0  # covers a worker's own delay, and rounding
+MIN_CONTACT_S = 1.0  # a shard owner can't do its work with a shorter bound
+MIN_VALUE_KB = 1.0  # no job record fits in a smaller value
+MIN_CPU = 0.01  # cores; with less, a lease with the shortest time to live is not renewed in time
+MIN_MEM_MB = 40.0  # the interpreter and the imported modules take about half of it
 MIN_SOCKETS = 16
 MAX_PORT = 65535
 
@@ -71,7 +71,7 @@
 
 
 class Workers(Struct):
-    """The times that workers keep to: between heartbeats, of their leases, and until cancelled tasks are gone."""
+    """Times of workers, in seconds: between heartbeats, of their leases, and until cancelled tasks have ended."""
 
     heartbeat_interval_s: Positive = field(name="report_s")
     lease_s: Positive
@@ -79,7 +79,7 @@
 
 
 class ComingStateLimits(Struct):
-    """Limits that the key-value store will have from a later moment on; those that are absent stay."""
+    """Limits that the key-value store will have from an unknown later time on; absent ones stay as they are."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -115,7 +115,7 @@
 
 
 class MachineLimits(Struct):
-    """What a controller's own machine gives it: the fraction of a core, memory, sockets."""
+    """Resources that a controller has on its own machine: the fraction of a core, memory in MB, sockets."""
 
     cpu: Positive = 1.0
     mem_mb: Positive = 256.0
@@ -151,8 +151,8 @@
         return frozenset({self.label, *(peer.label for peer in self.peers)})
 
 
-def parse_addr(text: str, where: str) -> Addr:
-    """Return the address in the text. Raises InvalidSettingsError, which names the field `where`."""
+def parse_addr(text: str, field_name: str) -> Addr:
+    """Return the address in the text. Raises InvalidSettingsError, which names the field `field_name`."""
     host, colon, port = text.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
@@ -160,23 +160,23 @@
     except ValueError:
         port_number = 0
     if not colon or not 0 < port_number <= MAX_PORT:
-        raise InvalidSettingsError(f"not an IPv4 address with a port: {text!r}", field=where)
+        raise InvalidSettingsError(f"not an IPv4 address with a port: {text!r}", field=field_name)
     return Addr(host, port_number)
 
 
 def contact_bound(cancel_s: float, lease_s: float, margin_s: float, controller_lease_s: float) -> float:
     """Return for how many seconds after its last contact with the key-value store a shard owner may answer workers.
 
-    A response may let a cancelled task go on for the whole lease of its worker, and the owner may not know of a
+    A response may let a cancelled task continue for the whole lease of its worker, and the owner may not know of a
     cancellation that was committed after the last contact. Where the operators' margin leaves less than a controller's
-    lease, the margin is shortened as far as it is safe; the bound itself never is.
+    lease, the margin is shortened, but not below MIN_MARGIN_S: cancelled tasks always end within `cancel_s`.
     """
     max_contact_s = cancel_s - lease_s * (1 + 2 * DRIFT)
     return max(max_contact_s - margin_s, min(controller_lease_s, max_contact_s - MIN_MARGIN_S))
 
 
 def _check(settings: PlatformSettings) -> None:
-    """Raise InvalidSettingsError where fields that are valid by themselves do not fit together."""
+    """Raise InvalidSettingsError where fields are inconsistent with each other, or an address is invalid."""
     parse_addr(settings.front, "front")
     parse_addr(settings.peer_listen, "peer_listen")
     parse_addr(settings.outside.cloud, "outside.cloud")
@@ -208,7 +208,7 @@
 
 def _check_machine_limits(limits: MachineLimits) -> None:
     for name, value, minimum in (("cpu", limits.cpu, MIN_CPU), ("mem_mb", limits.mem_mb, MIN_MEM_MB)):
-        if not value >= minimum:  # refuses what is not a number, too
+        if not value >= minimum:  # also refuses NaN
             raise InvalidSettingsError(
                 f"{value:g} is too small to serve with; at least {minimum:g}", field=f"facts.machine_limits.{name}"
             )
--- a/src/cloverplank/settings/rollout.py
+++ b/src/cloverplank/settings/rollout.py
@@ -10,16 +10,17 @@
 
 BLOCK = "rollout"
 MESSAGE_TYPE = "Rollout"
-HOLD_PHASES = ("prepared", "soak", "active")  # phases at which a rollout can be held
+HOLD_PHASES = ("prepared", "soak", "active")  # phases in which operators can hold a rollout
 SOAK_S = NumberSetting("soak_s", 60.0, minimum=0.0, maximum=7 * 86_400.0)
 
 
 @dataclass(frozen=True)
 class RolloutSettings:
-    """How this controller takes part in staged rollouts.
+    """This controller's part in staged rollouts.
 
     `goal` is the highest cluster version that is wanted, None for the newest that the program reads. `hold_at` names
-    the phase that a rollout must not leave, and `excused` absent controllers that it does not wait for.
+    the phase that a rollout must not leave, and `excused` absent controllers that it does not wait for. `soak_s` is the
+    minimum time in the phase `soak`, in seconds.
     """
 
     enabled: bool = False
@@ -29,7 +30,7 @@
     excused: frozenset[str] = frozenset()
 
     def check_names(self, controllers: frozenset[str]) -> None:
-        """Raise InvalidSettingsError where the excuses can't be those of a deployment of these controllers."""
+        """Raise InvalidSettingsError where an excused controller is not among `controllers`, or all are excused."""
         unknown = sorted(self.excused - controllers)
         if unknown:
             raise InvalidSettingsError(f"{unknown[0]} is no controller of this deployment", field=f"{BLOCK}.excused")
@@ -41,10 +42,10 @@
     def text(self) -> list[str]:
         """Return the block in the file's format, line by line, with comments on its fields."""
         lines = [
-            "# staged rollout: new stored shapes wait for all controllers and can be taken back (docs/rollout.md)",
-            f"# enabled: off, versions are announced at once; hold_at: one of {', '.join(HOLD_PHASES)}, or absent",
+            "# staged rollout: new stored formats wait for all controllers and can be rolled back (docs/rollout.md)",
+            f"# enabled: if false, versions are announced at once; hold_at: one of {', '.join(HOLD_PHASES)}, or absent",
             f"# soak_s: {SOAK_S.range_text}; goal: the cluster version wanted, absent for the newest;",
-            "# excused: a controller that is gone for good, may be repeated",
+            "# excused: a controller that was removed permanently, may be repeated",
             *opening_text(BLOCK, self, ()),
             f"  soak_s: {self.soak_s:g}",
         ]
--- a/src/cloverplank/settings/zones.py
+++ b/src/cloverplank/settings/zones.py
@@ -18,7 +18,7 @@
 
 BLOCK = "zones"
 MESSAGE_TYPE = "Zones"
-MAX_HOLD_S = 60.0  # no job may wait for 90 s beside a machine with free capacity
+MAX_HOLD_S = 60.0  # a job must not wait for 90 s while a machine has free capacity
 NUMBERS = (
     NumberSetting("longest_hold_s", 30.0, minimum=0.0, maximum=MAX_HOLD_S),
     NumberSetting("quiet_s", 5.0, minimum=0.5, maximum=60.0),
@@ -33,7 +33,8 @@
 class ZoneSettings:
     """The order of work while a zone is lost, and the pace of its recovery.
 
-    `first` and `last` name classes of jobs that are served like services, and like bulk work.
+    `first` names classes of jobs that are served like services, `last` those that are served like bulk work. Times
+    are in seconds.
     """
 
     enabled: bool = False
@@ -48,10 +49,11 @@
     def text(self) -> list[str]:
         """Return the block in the file's format, line by line, with comments on its fields."""
         return [
-            "# zones: order of work when a zone is lost, and pace of its return (docs/zones.md)",
-            "# longest_hold_s: for which bulk work is held; quiet_s: before a zone recovers, doubled with each flap;",
-            "# step_s: between 10, 25, 50 and 100 per cent of its machines; starts_a_second, pulls_at_once: in it;",
-            "# first, last: a class served like services, or like bulk; may be repeated",
+            "# zones: order of work while a zone is lost, and pace of its recovery (docs/zones.md)",
+            "# longest_hold_s: maximum time that bulk work is held; quiet_s: time with heartbeats before a zone",
+            "# recovers, doubled with each flap; step_s: time between 10, 25, 50 and 100 percent of its machines;",
+            "# starts_a_second, pulls_at_once: task starts and concurrent image pulls in a recovering zone;",
+            "# first, last: a class served like services, or like bulk work; may be repeated",
             *opening_text(BLOCK, self, NUMBERS),
             *(f'  first: "{name}"' for name in sorted(self.first)),
             *(f'  last: "{name}"' for name in sorted(self.last)),
