--- a/src/cloverplank/api/blocked_jobs.py
+++ b/src/cloverplank/api/blocked_jobs.py
@@ -17,16 +17,16 @@
 
 log = logging.getLogger(__name__)
 
-RESPONSE_TIMEOUT_S = 1.5  # users wait two seconds for a response to a poll
+RESPONSE_TIMEOUT_S = 1.5  # a user's poll times out after two seconds
 
 
 class BlockedJobResponses:
     """Answers requests about blocked jobs.
 
-    A blocked job counts as pending only while no upstream job is known to be cancelled. The leader cancels such jobs,
-    but an outage may delay it for longer than users may be told an outdated state. So a controller that finds one
-    commits the cancellation before it responds. `cancel_s` is the time within which every controller must know of a
-    cancellation.
+    A blocked job counts as pending only while no upstream job is known to be cancelled. The leader cancels blocked jobs
+    with a cancelled upstream job, but an outage may delay that for longer than a response may be outdated. So a
+    controller that finds such a job commits the cancellation before it responds. `cancel_s` is the time in seconds
+    within which every controller must know of a cancellation.
     """
 
     def __init__(self, access: JobAccess, cancel_s: float) -> None:
@@ -37,13 +37,13 @@
         self._max_cache_age_s = cancel_s / 2
 
     def is_cache_stale(self) -> bool:
-        """Return whether a cancellation may have been committed long ago and not be known here."""
+        """Return whether the watch cache may lack a cancellation that was committed over half of `cancel_s` ago."""
         return self._clock.monotonic() - self._watch_cache.complete_until > self._max_cache_age_s
 
     async def respond(self, job: BlockedJob) -> Response:
-        """Return the job's state, or 503 where it is not known.
+        """Return a response with the job's state, or a 503 where the state is unknown.
 
-        Raises StoreError or TimeoutError where the store does not respond.
+        Raises StoreError or TimeoutError where the key-value store does not respond.
         """
         if self.is_cache_stale():
             return busy()
@@ -55,9 +55,9 @@
         return busy()
 
     async def has_cancelled_upstream(self, job: BlockedJob) -> bool:
-        """Return whether a job that it needs, directly or through others, is cancelled.
+        """Return whether a direct or indirect upstream job of the job is cancelled.
 
-        Reads what is not in memory; raises StoreError where the store does not respond.
+        Reads upstream jobs that are not in memory. Raises StoreError where the key-value store does not respond.
         """
         blocked, state_of = self._watch_cache.blocked, self._watch_cache.upstream_state
         for upstream in dependencies.not_in_memory(job, blocked, state_of):
@@ -65,7 +65,7 @@
         return dependencies.has_cancelled_upstream(job, blocked, state_of)
 
     async def any_has_cancelled_upstream(self, job_ids: list[JobId]) -> bool:
-        """Return whether `has_cancelled_upstream` holds for one of those jobs that are blocked."""
+        """Return whether any of these jobs is blocked and has a cancelled upstream job. Raises StoreError."""
         for job_id in job_ids:
             job = self._watch_cache.blocked.get(job_id)
             if job is not None and await self.has_cancelled_upstream(job):
@@ -73,7 +73,7 @@
         return False
 
     async def cancel(self, job: BlockedJob) -> bool:
-        """Commit the job's cancellation; return False where it is not blocked any more. Raises StoreError."""
+        """Commit the job's cancellation; return False where it is no longer blocked. Raises StoreError."""
         result = await asyncio.shield(self._queue.commit(job_transitions.cancel(job), TransactionPriority.CANCEL))
         if result.conflicts:
             return False
--- a/src/cloverplank/api/job_access.py
+++ b/src/cloverplank/api/job_access.py
@@ -1,4 +1,4 @@
-"""What users' requests are answered from."""
+"""Access to the stored jobs for handlers of users' requests."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class JobAccess:
-    """The ways to read and to change jobs in the key-value store."""
+    """The components through which request handlers read and change jobs in the key-value store."""
 
     clock: Clock
     client: StoreClient
--- a/src/cloverplank/api/submission.py
+++ b/src/cloverplank/api/submission.py
@@ -1,4 +1,4 @@
-"""Submissions: what is refused, what becomes of a job with upstream jobs, and the transaction that accepts it."""
+"""Submissions: their validation, the state of a job with upstream jobs, and the transaction that accepts it."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 
 log = logging.getLogger(__name__)
 
-MAX_COMMIT_WAIT_S = 1.5  # a submission that would wait longer is told when to retry
-COMMIT_TIMEOUT_S = 3.5  # users wait five seconds for a response
-NEW_RECORD_FRACTION = 0.5  # of the largest value: the record grows as the job is placed
-MAX_UPSTREAM_READS = 20
-MAX_BLOCKED_JOBS = 20_000  # every controller has them all in memory
+MAX_COMMIT_WAIT_S = 1.5  # with a longer estimated wait a submission gets a 503 with Retry-After
+COMMIT_TIMEOUT_S = 3.5  # a user's submission times out after five seconds
+NEW_RECORD_FRACTION = 0.5  # fraction of the largest value; the record grows as the job is placed
+MAX_UPSTREAM_READS = 20  # per submission
+MAX_BLOCKED_JOBS = 20_000  # every controller keeps all blocked jobs in memory
 
 
 @dataclass(frozen=True, kw_only=True)
 class SubmissionLimits:
-    """What a submission is checked against: the deployment's teams, machine types, zones and size of a value."""
+    """Limits of submissions: the deployment's team quotas, machine types and zones, and the largest value in bytes."""
 
     quotas: dict[str, Quota]
     machine_types: Callable[[], dict[str, MachineType]]
@@ -49,7 +49,7 @@
 
 
 class SubmissionRejectedError(CloverplankError):
-    """The submission can't be accepted, with the status and the reason that its user is told."""
+    """The submission can't be accepted; `status` and `reason` are sent to the user."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -57,28 +57,28 @@
         self.reason = reason
 
 
-class _OnlyId(Struct):
+class _SubmissionId(Struct):
     """The part of a submission that identifies its job."""
 
     id: str
 
 
 class _Acceptance(Struct, frozen=True):
-    """The transaction that accepts a job, and the state that its user is told."""
+    """The transaction that accepts a job, and the job's state in the response to the user."""
 
     transaction: Transaction
     state: str
 
 
 class _UpstreamResult(Struct, frozen=True):
-    """What becomes of a job by the states of its upstream jobs, and which of those are unfinished."""
+    """The verdict on a job by the states of its upstream jobs, and the unfinished ones among them."""
 
     verdict: Verdict
     unfinished: list[JobId]
 
 
 class Submissions:
-    """Accepts the users' submissions."""
+    """Handles submissions of jobs by users."""
 
     def __init__(self, access: JobAccess, limits: SubmissionLimits, blocked_jobs: BlockedJobResponses) -> None:
         self._clock = access.clock
@@ -95,16 +95,16 @@
         try:
             submission = decode_submission(body)
         except MessageDecodeError as err:
-            return await self._accepted_before_by_id_alone(body) or undecodable(err)
+            return await self._respond_if_invalid_duplicate(body) or undecodable(err)
         job_id = JobId(submission.spec.id)
         if self._watch_cache.knows(job_id):
-            return await self._accepted_before(job_id)
+            return await self._respond_to_duplicate(job_id)
         if self._client.is_down() or not self._limits.machine_types():
             return busy()
         try:
             acceptance = await self._prepare(submission, len(body))
         except SubmissionRejectedError as rejection:
-            response = await self._accepted_before_or_none(job_id)
+            response = await self._respond_if_duplicate(job_id)
             return response or make_response(rejection.status, ErrorResponse(rejection.reason))
         wait_s = self._queue.wait_estimate()
         if wait_s > MAX_COMMIT_WAIT_S:
@@ -116,7 +116,7 @@
         async with asyncio.timeout(COMMIT_TIMEOUT_S):
             result = await self._queue.commit(acceptance.transaction, TransactionPriority.SUBMIT, once=True)
         if result.conflicts:
-            return await self._accepted_before(job_id)
+            return await self._respond_to_duplicate(job_id)
         self._log_accepted(submission, acceptance.state, received_at)
         return make_response(201, JobResponse(job_id, acceptance.state))
 
@@ -136,7 +136,7 @@
         )
 
     async def _prepare(self, submission: Submission, body_bytes: int) -> _Acceptance:
-        """Return how the job is accepted. Raises SubmissionRejectedError."""
+        """Return the transaction that accepts the job. Raises SubmissionRejectedError or OutcomeUnknownError."""
         spec = submission.spec
         limits = self._limits
         reason = refusal(spec, limits.quotas, limits.machine_types().values(), limits.zones)
@@ -151,14 +151,14 @@
         self._check_size(spec, upstream.unfinished, body_bytes)
         if upstream.unfinished:
             if len(self._watch_cache.blocked.jobs) >= MAX_BLOCKED_JOBS:
-                raise OutcomeUnknownError("too many jobs wait for others")
+                raise OutcomeUnknownError(f"job {spec.id}: the limit of {MAX_BLOCKED_JOBS} blocked jobs is reached")
             record = BlockedJobRecord(spec, self._clock.wall_ms(), list(upstream.unfinished))
             return _Acceptance(Transaction(conditions, [Put(keys.blocked(spec.id), record)]), "pending")
         put = Put(keys.job(spec.id), JobRecord(spec, self._clock.wall_ms()))
         return _Acceptance(Transaction(conditions, [put]), "pending")
 
     def _check_size(self, spec: JobSpec, upstream: list[JobId], body_bytes: int) -> None:
-        """Raise SubmissionRejectedError where the key-value store would not take the job's records."""
+        """Raise SubmissionRejectedError where the job's records are too large for the key-value store."""
         if json_size(JobRecord(spec, self._clock.wall_ms())) > self._limits.value_bytes * NEW_RECORD_FRACTION:
             raise SubmissionRejectedError(400, "description too large")
         blocked = BlockedJobRecord(spec, self._clock.wall_ms(), list(upstream))
@@ -166,18 +166,24 @@
             raise SubmissionRejectedError(400, "description too large: it needs too many unfinished jobs")
 
     async def _check_upstream(self, submission: Submission) -> _UpstreamResult:
-        """Return what the upstream jobs mean for the job. Raises SubmissionRejectedError."""
+        """Return the verdict on the job by its upstream jobs.
+
+        Raises SubmissionRejectedError where an upstream job is invalid, and OutcomeUnknownError where the state of one
+        is unknown.
+        """
         upstream = [JobId(name) for name in dict.fromkeys(submission.upstream)]
         if submission.spec.id in upstream:
             raise SubmissionRejectedError(422, "waits_on: the job itself")
         await self._read_missing(upstream)
         states = {job_id: self._watch_cache.upstream_state(job_id) for job_id in upstream}
         if UpstreamState.NOT_IN_MEMORY in states.values():
-            raise OutcomeUnknownError("not all jobs that it needs are read yet")
+            raise OutcomeUnknownError(f"job {submission.spec.id}: not all upstream jobs have been read yet")
         for job_id in upstream:
             self._check_not_service(job_id)
         if upstream and self._blocked_jobs.is_cache_stale():
-            raise OutcomeUnknownError("a cancellation of a job that it needs may not be known here")
+            raise OutcomeUnknownError(
+                f"job {submission.spec.id}: the watch cache may lack a cancellation of an upstream job"
+            )
         if await self._blocked_jobs.any_has_cancelled_upstream(upstream):
             return _UpstreamResult(Verdict.CANCEL, [])
         unfinished = [job_id for job_id, state in states.items() if state is UpstreamState.UNFINISHED]
@@ -186,8 +192,8 @@
     async def _read_missing(self, upstream: list[JobId]) -> None:
         """Read upstream jobs that are not in memory. Raises SubmissionRejectedError where one does not exist.
 
-        Reads a bounded number, so that one submission does not use up the request rate that all share. What is read
-        stays in memory, so that a repeated submission gets further.
+        Reads at most MAX_UPSTREAM_READS jobs, so that one submission does not exhaust the shared request rate. The jobs
+        stay in memory, so that a repeated submission makes progress.
         """
         not_in_memory = [
             job_id for job_id in upstream if self._watch_cache.upstream_state(job_id) is UpstreamState.NOT_IN_MEMORY
@@ -202,25 +208,25 @@
         if cached is not None and cached.record.spec.service:
             raise SubmissionRejectedError(422, f"waits_on: {job_id} is a service and never done")
 
-    async def _accepted_before(self, job_id: JobId) -> Response:
-        """Return the response for a job that was accepted before."""
-        response = await self._accepted_before_or_none(job_id)
+    async def _respond_to_duplicate(self, job_id: JobId) -> Response:
+        """Return the response to a repeated submission of an accepted job."""
+        response = await self._respond_if_duplicate(job_id)
         if response is None:
-            raise OutcomeUnknownError("a job that was there is not")
+            raise OutcomeUnknownError(f"job {job_id}: the accepted job was not found")
         return response
 
-    async def _accepted_before_or_none(self, job_id: JobId) -> Response | None:
+    async def _respond_if_duplicate(self, job_id: JobId) -> Response | None:
         job = await self._reader.read(job_id)
         if isinstance(job, BlockedJob):
             return await self._blocked_jobs.respond(job)
         return None if job is None else make_response(200, job_response(job_id, job))
 
-    async def _accepted_before_by_id_alone(self, body: bytes) -> Response | None:
-        """Return the response for an accepted job whose repeated submission is invalid except for its id."""
+    async def _respond_if_invalid_duplicate(self, body: bytes) -> Response | None:
+        """Return the response to an invalid submission whose id is that of an accepted job, else None."""
         try:
-            name = decode(body, _OnlyId).id
+            name = decode(body, _SubmissionId).id
         except MessageDecodeError:
             return None
         if not valid_job_id(name):
             return None
-        return await self._accepted_before_or_none(JobId(name))
+        return await self._respond_if_duplicate(JobId(name))
--- a/src/cloverplank/api/users.py
+++ b/src/cloverplank/api/users.py
@@ -1,4 +1,4 @@
-"""The users' requests: submit, get, cancel."""
+"""Users' requests about jobs: submit, get and cancel."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 class _Route(NamedTuple):
-    """The only method of a path, and what handles it."""
+    """The only method that a path allows, and its handler."""
 
     method: str
     handle: Callable[[], Awaitable[Response]]
 
 
 class Users:
-    """Answers users' requests; `cancelled` is called after a cancellation was committed here."""
+    """Handles users' requests; `cancelled` is called after this controller has committed a cancellation."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         try:
             return await route.handle()
         except (StoreError, TimeoutError) as err:
-            log.debug("%s %s: not now: %s", request.method, request.path, err)
+            log.debug("%s %s: responding with 503: %s", request.method, request.path, err)
             return busy()
 
     def _route(self, request: Request) -> _Route | None:
--- a/src/cloverplank/net/client.py
+++ b/src/cloverplank/net/client.py
@@ -1,4 +1,4 @@
-"""HTTP client: persistent connections without pipelining, one time limit for each request."""
+"""HTTP client: persistent connections without pipelining, and a time-out for each request."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 IDLE_TIMEOUT_S = 20.0
 MAX_RESPONSE_BYTES = 8 * 1024 * 1024
 READ_BYTES = 64 * 1024
-CACHED_ADDRESSES = 16_384  # one for each worker
-CACHED_HEADS = 4_096  # one for each worker and size of a body
+CACHED_ADDRESSES = 16_384  # enough for one for each worker
+CACHED_HEADS = 4_096  # enough for one for each worker and body size
 
 
 class _Connection:
-    """A connection to a server, and whether it can be used for another request."""
+    """A connection to a server; `is_reusable` says whether it can carry another request."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -31,12 +31,12 @@
         self.is_reusable = False
 
     def is_open(self) -> bool:
-        """Return whether the other side has not closed the connection; after a reset there is no end of file."""
+        """Return whether the connection is open at both ends; after a reset the reader has no end of file."""
         return not self.reader.at_eof() and not self.writer.is_closing()
 
     def close(self) -> None:
-        """Close the connection, in whatever state it is."""
-        # The transport may be in any state, and nothing is to be done about a failure here.
+        """Close the connection, whatever its state."""
+        # The transport may be in any state, and a failure to close it needs no handling.
         with contextlib.suppress(Exception):
             self.writer.close()
 
@@ -60,12 +60,16 @@
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > MAX_RESPONSE_BYTES:
-                    raise NoResponseError("answer too large", address=host, method=method, path=path)
+                    raise NoResponseError(
+                        f"response over {MAX_RESPONSE_BYTES} bytes", address=host, method=method, path=path
+                    )
                 chunks.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 break
             elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-                raise NoResponseError("connection closed", address=host, method=method, path=path)
+                raise NoResponseError(
+                    "connection closed before the response was complete", address=host, method=method, path=path
+                )
             event = self.h11.next_event()
         self.is_reusable = self.h11.our_state is h11.DONE and self.h11.their_state is h11.DONE
         if self.is_reusable:
@@ -93,10 +97,10 @@
 
 
 class Client:
-    """Pools connections by address.
+    """HTTP client with a pool of connections by address.
 
-    The number of open connections is bounded by `limit`, or by what `sockets` leaves where it is given. At the bound
-    idle connections to other addresses are closed first.
+    The number of open connections is bounded by `limit`, or by `sockets` where it is given. At the bound, idle
+    connections to other addresses are closed first.
     """
 
     def __init__(self, limit: int, sockets: Sockets | None = None) -> None:
@@ -134,7 +138,7 @@
         connection.close()
 
     def trim(self) -> None:
-        """Close idle connections until fewer than the limit are open, as far as there are any."""
+        """Close idle connections until fewer connections than the limit are open, or none is idle."""
         limit = self._limit
         if self._open < limit:
             return
@@ -145,7 +149,7 @@
     async def _connect(self, addr: str, method: str, path: str) -> _Connection:
         self.trim()
         if self._open >= self._limit:
-            raise NoFreeSocketError("no free connection", address=addr, method=method, path=path)
+            raise NoFreeSocketError("all connections are in use", address=addr, method=method, path=path)
         self._open += 1
         try:
             reader, writer = await asyncio.open_connection(*_host_and_port(addr))
@@ -173,9 +177,11 @@
                 response = await connection.exchange(addr, method, path, body)
         except TimeoutError as err:
             if connection is None:
-                raise RequestNotSentError("no connection in time", address=addr, method=method, path=path) from err
+                raise RequestNotSentError(
+                    f"no connection within {timeout:g} s", address=addr, method=method, path=path
+                ) from err
             self._drop(connection)
-            raise NoResponseError("no response in time", address=addr, method=method, path=path) from err
+            raise NoResponseError(f"no response within {timeout:g} s", address=addr, method=method, path=path) from err
         except (OSError, RuntimeError, h11.ProtocolError, asyncio.IncompleteReadError) as err:
             # uvloop raises RuntimeError for a connection that was reset while it was idle.
             if connection is not None:
@@ -193,7 +199,7 @@
         return response
 
     def close_idle(self) -> None:
-        """Close connections that have been idle for IDLE_TIMEOUT_S; to be called now and then."""
+        """Close connections that have been idle for IDLE_TIMEOUT_S; callers run it periodically."""
         now = asyncio.get_running_loop().time()
         for addr in list(self._idle):
             pool = self._idle[addr]
--- a/src/cloverplank/net/messages.py
+++ b/src/cloverplank/net/messages.py
@@ -12,11 +12,11 @@
 from cloverplank.wire.codec import MessageDecodeError, encode
 from cloverplank.wire.users import ErrorResponse
 
-MAX_ERROR_CHARACTERS = 200  # of what a decoder says, that a response repeats
+MAX_ERROR_CHARACTERS = 200  # limit on a decoder's message in a response
 
 
 class Request(Struct):
-    """A request as the server received it; `query` is what follows the question mark."""
+    """A request as the server received it; `query` is the text after the question mark."""
 
     method: str
     path: str
@@ -37,9 +37,9 @@
 
 
 class NoResponseError(CloverplankError):
-    """No response: the request may have been carried out, or may be yet.
+    """No response was received: the request may have been carried out, or may still be.
 
-    The fields name the request; they are empty where it is not known.
+    The fields name the request; they are empty where it is unknown.
     """
 
     def __init__(self, message: str, *, address: str = "", method: str = "", path: str = "") -> None:
@@ -54,11 +54,11 @@
 
 
 class NoFreeSocketError(RequestNotSentError):
-    """All sockets for requests are in use: the request was not tried, which says nothing about the other side."""
+    """All sockets for requests are in use: the request was not attempted, which does not indicate a failed server."""
 
 
 class Http(Protocol):
-    """How a controller sends requests; `Client` is the one over sockets."""
+    """Interface through which a controller sends requests; `Client` implements it over sockets."""
 
     async def request(
         self, addr: str, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
@@ -66,7 +66,7 @@
         """Send a request to `addr` (IPv4 address and port). Raises NoResponseError after `timeout` seconds."""
 
     def close_idle(self) -> None:
-        """Close connections that have been idle for long."""
+        """Close connections that have been idle for longer than the idle time-out."""
 
 
 def make_response(status: int, value: object = None, **headers: str) -> Response:
@@ -76,12 +76,12 @@
 
 
 def no_such_path() -> Response:
-    """Return the response to a request of an unknown path."""
+    """Return the response to a request for an unknown path."""
     return make_response(HTTPStatus.NOT_FOUND, ErrorResponse("no such path"))
 
 
 def method_not_allowed(allowed: str) -> Response:
-    """Return the response to a request of another method than the only one of its path."""
+    """Return the response to a request whose method is not `allowed`, the only one of its path."""
     return make_response(HTTPStatus.METHOD_NOT_ALLOWED, ErrorResponse(f"{allowed} only"), Allow=allowed)
 
 
--- a/src/cloverplank/net/server.py
+++ b/src/cloverplank/net/server.py
@@ -1,4 +1,4 @@
-"""HTTP server: bounded bodies, bounded connections, and time limits for slow clients."""
+"""HTTP server: bounded bodies, a bounded number of connections, and time-outs for slow clients."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 CROWDED_IDLE_TIMEOUT_S = 6.0
 SWEEP_INTERVAL_S = 1.0
 READ_BYTES = 64 * 1024
-MAX_LENGTH_DIGITS = 9  # of a Content-Length header that is parsed
+MAX_LENGTH_DIGITS = 9  # a Content-Length with more digits is refused without being parsed
 CACHED_HEADS = 1024
 BACKLOG = 256
 CLOSE_HEADER = ("Connection", "close")
 
 
 class _ServerConnection:
-    """A connection, and the deadline of what it is doing.
+    """A connection, and the deadline of its current read or write.
 
-    Checking the deadlines of all connections now and then costs less than a timer for each request.
+    A periodic check of the deadlines of all connections costs less than a timer for each request.
     """
 
     __slots__ = ("deadline", "is_sending", "reader", "timed_out", "writer")
@@ -45,7 +45,7 @@
         self.timed_out = False
 
     def expire(self) -> None:
-        """End whatever the connection waits for."""
+        """Abort the response that is being sent, or end the pending read."""
         self.timed_out = True
         if self.is_sending:
             self.writer.transport.abort()
@@ -56,8 +56,8 @@
 class Server:
     """Serves requests on one address.
 
-    At most `limit` connections are open. `sockets` is given where this server shares its sockets with others: it then
-    closes connections after a response while they are crowded.
+    At most `limit` connections are open. `sockets` is given where this server shares its sockets with other parts of
+    the process: it then closes each connection after a response while sockets are scarce.
     """
 
     def __init__(
@@ -78,11 +78,11 @@
         self._meter = meter or NoMeter()
 
     async def start(self, host: str, port: int) -> asyncio.Server:
-        """Begin to listen. Raises OSError where the address can't be used."""
+        """Start to listen. Raises OSError where the address can't be used."""
         return await asyncio.start_server(self._serve, host, port, backlog=BACKLOG, limit=MAX_BODY * 2)
 
     def _sweep(self) -> None:
-        """Expire connections that are past their deadlines; idle ones earlier while sockets are crowded."""
+        """Expire connections that are past their deadlines; idle ones earlier while sockets are scarce."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         crowded = self._sockets is not None and self._sockets.crowded()
@@ -113,19 +113,19 @@
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
             pass
         except Exception:
-            # A fault that one connection meets must not end the others.
+            # An error in one connection must not end the others.
             log.exception("%s: connection failed", self._name)
         finally:
             self._connections.discard(connection)
             if self._sockets is not None:
                 self._sockets.closed()
-            # The transport may be in any state, and nothing is to be done about a failure here.
+            # The transport may be in any state, and a failure to close it needs no handling.
             with contextlib.suppress(Exception):
                 writer.close()
 
     async def _serve_requests(self, connection: _ServerConnection) -> None:
         protocol = h11.Connection(h11.SERVER)
-        has_data = False  # something of the next request was received with the one before
+        has_data = False  # whether bytes of the next request arrived with the previous one
         while True:
             try:
                 received = await self._receive(protocol, connection, has_data=has_data)
@@ -148,7 +148,7 @@
         try:
             return await self._handler(request)
         except Exception:
-            # A fault that one request meets must not end the connection, or the process.
+            # An error in one request must not end the connection, or the process.
             log.exception("%s: %s %s failed", self._name, request.method, request.path)
             return make_response(503, ErrorResponse("internal"), Retry_After="1")
 
@@ -205,7 +205,7 @@
                 data += protocol.send(h11.Data(data=response.body))
             data += protocol.send(h11.EndOfMessage()) or b""
         except h11.LocalProtocolError:
-            return  # the protocol's state allows no response any more
+            return  # the connection's state no longer allows a response
         if connection.writer.is_closing():
             raise ConnectionResetError
         connection.writer.write(data)
@@ -216,12 +216,12 @@
 
 
 @lru_cache(maxsize=CACHED_HEADS)
-def _head(status: int, size: int, more: tuple[tuple[str, str], ...]) -> h11.Response:
+def _head(status: int, size: int, extra_headers: tuple[tuple[str, str], ...]) -> h11.Response:
     """Return the head of a response. Cached, since most responses are alike and h11 checks each head that it makes."""
     headers = [("Content-Length", str(size))]
     if size:
         headers.append(("Content-Type", "application/msgpack"))
-    headers += more
+    headers += extra_headers
     try:
         reason = HTTPStatus(status).phrase
     except ValueError:
--- a/src/cloverplank/net/sockets.py
+++ b/src/cloverplank/net/sockets.py
@@ -1,29 +1,31 @@
-"""How a controller's sockets are shared among its interfaces."""
+"""Limits that divide a controller's sockets between its interfaces."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-RESERVED_SOCKETS = 12  # listeners, and connections that are being closed
+RESERVED_SOCKETS = 12  # for listeners, and connections that are being closed
 PEER_SOCKETS_DIVISOR = 32
 MIN_PEER_SOCKETS = 4
 MIN_FRONT_SOCKETS = 8
 MIN_CLIENT_SOCKETS = 8
 MIN_FREE_FRONT_SOCKETS = 2
 
-# Fractions of all sockets that this controller's own requests may use: while nobody else needs them, and always.
+# Fractions of all sockets that this controller's outgoing requests may use: while no other interface needs them, and
+# always.
 CLIENT_MAX_FRACTION = 0.2
 CLIENT_MIN_FRACTION = 1 / 16
 
-# Fraction of the front's sockets that stays free for new connections of users and health checks.
+# Fraction of the front's sockets that is kept free for new connections of users and health checks.
 FREE_FRONT_FRACTION = 1 / 16
 
 
 class Sockets:
-    """Divides sockets between the front, peers, and this controller's own requests.
+    """Divides sockets between the front, peers, and this controller's outgoing requests.
 
-    A shard owner has a connection for each worker of its shard, and users come on top of them. So the front may take
-    all sockets but those that peers and own requests need at the least; own requests may use more while it does not.
+    A shard owner has a connection for each worker of its shard, and users need further ones. So the front may use
+    all sockets but those reserved for peers and for the minimum of outgoing requests; these may use more while the
+    front does not.
     """
 
     def __init__(self, total: int) -> None:
@@ -36,13 +38,13 @@
         self.client_open = 0
 
     def client_limit(self) -> int:
-        """Return the number of connections that own requests may have open now."""
+        """Return the number of connections that outgoing requests may have open now."""
         return max(self.client_min, min(self._client_max, self.front + self.client_min - self.front_open))
 
     def crowded(self) -> bool:
-        """Return whether the front has to close connections after each response, so that new ones find a free socket.
+        """Return whether the front must close connections after each response, to keep sockets free for new ones.
 
-        A controller full of idle connections would refuse health checks and count as dead.
+        A controller full of idle connections would refuse health checks and be considered dead.
         """
         return self.front_open > self.front - self.front_free_min
 
@@ -50,7 +52,7 @@
 class FrontSockets:
     """Counts the front's connections.
 
-    `trim_client` closes idle connections of own requests that are over their limit.
+    `trim_client` closes idle connections of outgoing requests that are over their limit.
     """
 
     def __init__(self, sockets: Sockets, trim_client: Callable[[], None]) -> None:
@@ -58,11 +60,11 @@
         self._trim_client = trim_client
 
     def crowded(self) -> bool:
-        """Return as `Sockets.crowded`."""
+        """Return whether sockets are scarce, see `Sockets.crowded`."""
         return self._sockets.crowded()
 
     def opened(self) -> None:
-        """Count a new connection; own requests give up idle ones where they are over their limit then."""
+        """Count a new connection; close idle ones of outgoing requests where these are now over their limit."""
         self._sockets.front_open += 1
         if self._sockets.client_open > self._sockets.client_limit():
             self._trim_client()
--- a/src/cloverplank/wire/cloud.py
+++ b/src/cloverplank/wire/cloud.py
@@ -27,7 +27,7 @@
 
 
 class MachineTypes(Struct):
-    """The cloud's response to a controller's GET of TYPES_PATH: everything on offer."""
+    """The cloud's response to a controller's GET of TYPES_PATH: all machine types on offer."""
 
     types: list[MachineType] = field(name="builds")
 
@@ -46,7 +46,7 @@
 
 
 class ProvisionResponse(Struct):
-    """The cloud's response to a `ProvisionRequest`: the names of the machines, maybe fewer than requested."""
+    """The cloud's response to a `ProvisionRequest`: the names of the machines, possibly fewer than requested."""
 
     machines: list[str] = field(name="planks")
 
@@ -70,7 +70,7 @@
 
 
 class MachineList(Struct):
-    """The cloud's response to a controller's GET of MACHINES_PATH: one page of its machines; `more` follow."""
+    """The cloud's response to a controller's GET of MACHINES_PATH: a page of machines, and whether `more` follow."""
 
     machines: list[ListedMachine] = field(name="planks")
     more: bool = False
--- a/src/cloverplank/wire/codec.py
+++ b/src/cloverplank/wire/codec.py
@@ -9,7 +9,7 @@
 
 from cloverplank.errors import CloverplankError
 
-MAX_BODY = 64 * 1024  # bytes of a request, and of a response to users and workers
+MAX_BODY = 64 * 1024  # limit in bytes of a request, and of a response to users and workers
 T = TypeVar("T")
 
 _encoder = msgspec.msgpack.Encoder()
@@ -17,7 +17,7 @@
 
 
 class MessageDecodeError(CloverplankError, ValueError):
-    """The bytes are not a message of the expected type; the message names the field at fault where one is."""
+    """The bytes are not a message of the expected type; the error text names the invalid field, if any."""
 
 
 def encode(value: Any) -> bytes:
@@ -37,7 +37,7 @@
 
 
 def json_size(value: Any) -> int:
-    """Return the bytes of a value in JSON, the form in which the protocol counts sizes."""
+    """Return the size in bytes of a value in JSON, the form in which the protocol measures sizes."""
     return len(msgspec.json.encode(value))
 
 
--- a/src/cloverplank/wire/gossip.py
+++ b/src/cloverplank/wire/gossip.py
@@ -1,4 +1,4 @@
-"""Messages between controllers. They are hints: no decision that must be right depends on them."""
+"""Messages between controllers. They are hints: no decision depends on them for its correctness."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 
 class GossipMessage(Struct):
-    """What a controller sends to every other controller: its own state and what it knows of workers.
+    """A controller's message to every other controller: its own state, and the state of workers that it knows.
 
-    `worker_counts` counts, by zone, the workers that sent a heartbeat to this controller lately. `shard_tokens` has the
-    fencing token of each shard that it owns, by zone. `declines_assignments` says that it wants no shard, since it
-    hears no workers. `demand` is the number of changes per second that it would make in the key-value store.
-    `cancelled` names jobs whose cancellation it has committed lately. `incarnation` rises when the controller learns
+    `worker_counts` counts, by zone, the workers that recently sent a heartbeat to this controller. `shard_tokens` has
+    the fencing token of each shard that it owns, by zone. `declines_assignments` says that it accepts no shard, since
+    it receives no heartbeats. `demand` is the number of changes per second that it would make in the key-value store.
+    `cancelled` names jobs whose cancellation it has recently committed. `incarnation` rises when the controller learns
     that it is suspected.
     """
 
--- a/src/cloverplank/wire/kvstore.py
+++ b/src/cloverplank/wire/kvstore.py
@@ -6,11 +6,11 @@
 
 from msgspec import Raw, Struct, field
 
-COMPARES_PER_CHANGE = 4  # that a transaction may have, for each change that it may make
+COMPARES_PER_CHANGE = 4  # a transaction may have so many conditions for each change that it may make
 
 
 class Compare(Struct, frozen=True):
-    """A condition of a `Transaction`: the key has this mod revision; 0: it does not exist."""
+    """A condition of a `Transaction`: the key has this mod revision, or does not exist where it is 0."""
 
     key: str = field(name="path")
     mod_revision: int = field(name="stamp")
@@ -53,7 +53,7 @@
 
 
 class KeyValuePage(Struct):
-    """The store's response to a controller's read of a prefix: one page in key order; `more` follow."""
+    """The store's response to a controller's read of a prefix: a page in key order, and whether `more` follow."""
 
     revision: int = field(name="epoch")
     items: list[KeyValue] = field(name="rows")
@@ -77,7 +77,7 @@
 
 
 class LeaseRequest(Struct):
-    """A controller's request to the store: grant a lease for this time, in milliseconds."""
+    """A controller's request to the store: grant a lease with this time to live, in milliseconds."""
 
     ttl_ms: int = field(name="life_ms")
 
--- a/src/cloverplank/wire/status.py
+++ b/src/cloverplank/wire/status.py
@@ -1,4 +1,4 @@
-"""What the status commands print for operators."""
+"""The output of the status commands."""
 
 from __future__ import annotations
 
@@ -14,5 +14,5 @@
         return msgspec.json.format(msgspec.json.encode(self)).decode()
 
     def as_text(self) -> str:
-        """Return some lines for a terminal."""
+        """Return the status as lines of text for a terminal."""
         raise NotImplementedError
--- a/src/cloverplank/wire/users.py
+++ b/src/cloverplank/wire/users.py
@@ -9,7 +9,7 @@
 
 from cloverplank.wire.codec import MessageDecodeError, all_finite, decode
 
-JOBS_PATH = "/api/jobs"  # of controllers
+JOBS_PATH = "/api/jobs"  # served by controllers
 MAX_TASKS = 100_000
 JOB_ID = re.compile(r"run-[0-9]{1,32}\Z")
 
@@ -49,12 +49,12 @@
 
     @property
     def service(self) -> bool:
-        """Return whether its tasks are replicas that run until the job is cancelled."""
+        """Return whether the job's tasks are replicas that run until the job is cancelled."""
         return self.shape == "service"
 
     @property
     def gang(self) -> bool:
-        """Return whether its tasks run all at the same time or not at all."""
+        """Return whether the job's tasks run all at the same time or not at all."""
         return self.shape == "ensemble"
 
 
@@ -81,7 +81,7 @@
 
 
 class ErrorResponse(Struct):
-    """A controller's response to a request of anybody that it refuses: the reason in a few words."""
+    """A controller's response to a refused request of any client: the reason in a few words."""
 
     error: str
 
--- a/src/cloverplank/wire/workers.py
+++ b/src/cloverplank/wire/workers.py
@@ -6,8 +6,8 @@
 
 from msgspec import Meta, Struct, field
 
-HEARTBEAT_PATH = "/v1/report"  # of controllers
-COMMANDS_PATH = "/orders"  # of workers
+HEARTBEAT_PATH = "/v1/report"  # served by controllers
+COMMANDS_PATH = "/orders"  # served by workers
 
 Count = Annotated[int, Meta(ge=0)]
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
@@ -16,7 +16,7 @@
 class TaskStatus(Struct):
     """One attempt of a task on the worker's machine; part of `Heartbeat`.
 
-    `reason` is why it exited and `saved` whether its progress was saved then; both are None before.
+    `reason` is the cause of its exit and `saved` whether its progress was saved then; both are None before the exit.
     """
 
     task: str = field(name="piece")
@@ -27,7 +27,7 @@
 
 
 class Heartbeat(Struct):
-    """What a worker sends to a controller at each interval, and its response to a `CommandRequest`.
+    """A worker's request to a controller at each interval, and its response to a `CommandRequest`.
 
     Of two heartbeats the one with the larger incarnation and sequence is the newer one. `token` is the highest fencing
     token that the worker has seen. `notice_s` is the time until the cloud takes the machine away, None without notice.
@@ -46,9 +46,9 @@
 
 
 class Command(Struct, omit_defaults=True):
-    """What a worker is to do with one attempt of a task; part of `HeartbeatResponse` and `CommandRequest`.
+    """An instruction to a worker for one attempt of a task; part of `HeartbeatResponse` and `CommandRequest`.
 
-    `reap` acknowledges an exit. `grace_s` is the time that a task may take to save when it is stopped.
+    `reap` acknowledges an exit. `grace_s` is the time that a stopped task may take to save its progress.
     """
 
     op: Literal["start", "stop", "reap"] = field(name="verb")
@@ -65,7 +65,7 @@
 
 
 class Redirect(Struct, omit_defaults=True):
-    """A controller's response to a `Heartbeat` of another owner's worker: the controller to use instead."""
+    """A controller's response to a `Heartbeat` of a worker whose shard another controller owns: that controller."""
 
     report_to: str | None = field(name="foreman", default=None)
 
