--- a/run.py
+++ b/run.py
@@ -1,7 +1,7 @@
 """Starts cloverplank from a checkout: dependencies come from target/deps, sources from src.
 
-The build leaves bytecode of all that a serving process imports in target/bytecode; what is not there, or older than its
-source, is compiled as usual.
+The build writes the bytecode of all modules that a serving process imports to target/bytecode. Modules whose bytecode
+is missing there, or older than its source, are compiled as usual.
 """
 
 import sys
--- a/src/cloverplank/cli.py
+++ b/src/cloverplank/cli.py
@@ -1,7 +1,7 @@
 # ruff: noqa: PLC0415, RUF100
-"""The command line: serving, and commands for users and operators.
+"""The command line: the command that serves, and commands for users and operators.
 
-A command imports what it needs by itself, so that none starts later for what the others need.
+Each command imports its own dependencies, so that those of the others don't delay its start.
 """
 
 from __future__ import annotations
@@ -50,10 +50,10 @@
 
 
 class _ServeByDefault(click.Group):
-    """Takes `--config FILE` without a command for `serve`: so the platform starts a controller."""
+    """Treats `--config FILE` without a command as `serve`, which is how the platform starts a controller."""
 
     def parse_args(self, ctx: click.Context, args: list[str]) -> list[str]:
-        """Insert the command where it is missing."""
+        """Insert the command `serve` where it is missing."""
         if args and args[0] == "--config":
             args = ["serve", *args]
         return super().parse_args(ctx, args)
@@ -178,19 +178,19 @@
 
 @main.group()
 def rollout() -> None:
-    """Staged rollouts of new stored shapes."""
+    """Staged rollouts of new stored formats."""
 
 
 @main.group()
 def zones() -> None:
-    """Zones that are lost, and that return."""
+    """Lost and recovering zones."""
 
 
 JSON = click.option("--json", "as_json", is_flag=True, help="One JSON object instead of text.")
 
 
 def _show_status(config: Path, read: Callable[[PlatformSettings], Status], *, as_json: bool) -> None:
-    """Print the status that `read` returns; exit where it can't be read."""
+    """Print the status that `read` returns; exit where the settings are invalid or the key-value store fails."""
     from cloverplank.kvstore.errors import StoreError
     from cloverplank.settings.platform import read_platform
 
@@ -201,7 +201,7 @@
     try:
         status = read(platform)
     except StoreError as err:
-        _exit(EXIT_FAILED, f"no answer from the state service {platform.outside.state}: {err}")
+        _exit(EXIT_FAILED, f"no response from the key-value store {platform.outside.state}: {err}")
     click.echo(status.as_json() if as_json else status.as_text())
 
 
@@ -209,7 +209,7 @@
 @CONFIG
 @JSON
 def rollout_status(config: Path, *, as_json: bool) -> None:
-    """Show phase, controllers and what is waited for, from committed state."""
+    """Show the phase, the controllers and what the rollout waits for, from committed state."""
     from cloverplank.rollout.status import read_status
 
     _show_status(config, read_status, as_json=as_json)
@@ -219,7 +219,7 @@
 @CONFIG
 @JSON
 def zones_status(config: Path, *, as_json: bool) -> None:
-    """Show the health of each zone and how far its return is, from committed state."""
+    """Show the health of each zone and the progress of its recovery, from committed state."""
     from cloverplank.zones.status import read_status
 
     _show_status(config, read_status, as_json=as_json)
@@ -227,14 +227,14 @@
 
 @main.group()
 def controllers() -> None:
-    """Controllers, their duties, and handovers."""  # noqa: D401
+    """Controllers, their roles, and handovers."""  # noqa: D401
 
 
 @controllers.command("status")
 @CONFIG
 @JSON
 def controllers_status(config: Path, *, as_json: bool) -> None:
-    """Show who is there, leads and holds what, and from whom a block was taken, from committed state."""
+    """Show which controllers are present, lead or own shards, and which lost a shard, from committed state."""
     from cloverplank.membership.status import read_status
 
     _show_status(config, read_status, as_json=as_json)
--- a/src/cloverplank/load_meter.py
+++ b/src/cloverplank/load_meter.py
@@ -1,4 +1,4 @@
-"""Measures where processor time and memory go while serving; logged at an interval if operators ask for it."""
+"""Measures processor time by part of the program, and memory; logged periodically if operators enable it."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 log = logging.getLogger(__name__)
 
 LAG_PROBE_INTERVAL_S = 0.25
-MIN_LOGGED_S = 0.005  # less than is shown as 0.01 s
+MIN_LOGGED_S = 0.005  # a shorter time would be logged as 0.00 s
 KIB_PER_MIB = 1024
 _NOT_MEASURED = nullcontext()
 T = TypeVar("T")
 
 
 class Part(Enum):
-    """A part of the program that processor time is charged to."""
+    """Part of the program to which processor time is charged."""
 
     HTTP = "http"
     HEARTBEATS = "heartbeats"
@@ -47,7 +47,7 @@
 
 
 class LoadMeter:
-    """Charges processor time to the part that runs. A task belongs to the part that started it."""
+    """Charges processor time to the part that runs. A task is charged to the part that started it."""
 
     def __init__(self, processor_time: Callable[[], float] = time.process_time) -> None:
         self._processor_time = processor_time
@@ -81,16 +81,16 @@
     def metered(self, part: Part, work: Coroutine[Any, Any, T]) -> Coroutine[Any, Any, T]:
         """Return a coroutine that runs `work` and charges each of its steps to a part."""
         self.entries[part] += 1
-        return _Steps(self, part, work).run()
+        return _MeteredCoroutine(self, part, work).run()
 
     def task_factory(
         self, loop: asyncio.AbstractEventLoop, work: Coroutine[Any, Any, T] | Generator[Any, None, T], **options: Any
     ) -> asyncio.Task[T]:
         """Make tasks that are charged to the part that creates them; for `loop.set_task_factory`."""
-        return asyncio.Task(_Steps(self, self._part, work).run(), loop=loop, **options)
+        return asyncio.Task(_MeteredCoroutine(self, self._part, work).run(), loop=loop, **options)
 
     def take(self) -> LoadSample:
-        """Return what was measured since the last call."""
+        """Return the measurements since the last call, and reset them."""
         self.switch(self._part)
         sample = LoadSample(self.seconds, self.entries, self.max_lag_s)
         self.seconds, self.entries = dict.fromkeys(Part, 0.0), dict.fromkeys(Part, 0)
@@ -106,9 +106,9 @@
             self.max_lag_s = max(self.max_lag_s, loop.time() - due_at)
 
     async def report(self, every_s: float, sizes: Callable[[], dict[str, int]]) -> None:
-        """Log what was spent in each period of `every_s` seconds, until cancelled.
+        """Log processor time and memory after each period of `every_s` seconds, until cancelled.
 
-        `sizes` returns the entries of each cache by its name.
+        `sizes` returns the number of entries of each cache by its name.
         """
         while True:
             await asyncio.sleep(every_s)
@@ -124,7 +124,7 @@
 
 
 class NoMeter(LoadMeter):
-    """Measures nothing, at no cost."""
+    """A load meter that measures nothing and adds no overhead."""
 
     def section(self, part: Part) -> AbstractContextManager[None]:
         """Return a context that does nothing."""
@@ -135,7 +135,7 @@
         return work
 
 
-class _Steps:
+class _MeteredCoroutine:
     """Drives a coroutine and charges each of its steps to a part."""
 
     def __init__(
@@ -162,7 +162,7 @@
             except GeneratorExit:
                 self._work.close()
                 raise
-            except BaseException as err:  # noqa: BLE001, RUF100 - thrown into the coroutine that is driven
+            except BaseException as err:  # noqa: BLE001, RUF100 - thrown into the driven coroutine
                 error = err
 
     async def run(self) -> Any:
@@ -171,5 +171,5 @@
 
 
 def peak_memory_mib() -> float:
-    """Return the most memory that this process has held, in MiB."""
+    """Return the peak memory of this process (maximum resident set size), in MiB."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / KIB_PER_MIB
--- a/src/cloverplank/schemas.py
+++ b/src/cloverplank/schemas.py
@@ -1,7 +1,7 @@
-"""JSON Schemas of everything that processes of several versions read: stored records and messages of peers.
+"""JSON Schemas of all types that processes of several versions read: stored records and messages between peers.
 
-`python3 -m cloverplank.schemas schemas` makes a file of each type in `schemas/`. A change of a type changes its file;
-`tests/production/test_schemas.py` says which changes older and newer processes accept. A serving process does not
+`python3 -m cloverplank.schemas schemas` writes a file for each type to `schemas/`. A change of a type changes its file;
+`tests/production/test_schemas.py` checks which changes older and newer processes accept. A serving process does not
 import this module.
 """
 
@@ -44,7 +44,7 @@
 
 
 def schema_of(stored_type: type) -> dict[str, Any]:
-    """Return the schema of one type as it is kept under version control, without descriptions."""
+    """Return the schema of a type without descriptions, as it is kept under version control."""
     return _without_descriptions(msgspec.json.schema(stored_type))
 
 
@@ -63,19 +63,19 @@
 
 
 def as_text(schema: dict[str, Any]) -> str:
-    """Return the text of a schema's file."""
+    """Return the text of a schema file."""
     return msgspec.json.format(msgspec.json.encode(schema, order="sorted"), indent=1).decode() + "\n"
 
 
 def file_of(stored_type: type, folder: Path) -> Path:
-    """Return the path of a type's schema."""
+    """Return the path of a type's schema file."""
     return folder / f"{stored_type.__name__}.json"
 
 
 def incompatible_changes(before: dict[str, Any], after: dict[str, Any]) -> list[str]:
-    """Return the differences that processes of either version can't read.
+    """Return a line for each difference that makes a value unreadable to processes of either version.
 
-    They can read an added property that has a default, and an item with a default at the end of an array.
+    An added property that has a default is compatible, and so is an item with a default at the end of an array.
     """
     return list(_Comparison(before, after).differences(before, after, ""))
 
@@ -86,7 +86,7 @@
     def __init__(self, before: dict[str, Any], after: dict[str, Any]) -> None:
         self._before = before
         self._after = after
-        self._compared: set[tuple[str, str]] = set()  # pairs of references
+        self._compared: set[tuple[str, str]] = set()  # pairs of references in both schemas
 
     def differences(self, before: Any, after: Any, path: str) -> Iterator[str]:
         """Yield a line for each incompatible change between two parts of the schemas at the same path."""
@@ -102,7 +102,7 @@
         yield from self._property_differences(before, after, path)
 
     def _reference_differences(self, before: str, after: str, path: str) -> Iterator[str]:
-        # Types may be renamed: stored values have no names of types.
+        # Types may be renamed: stored values don't contain type names.
         if (before, after) not in self._compared:
             self._compared.add((before, after))
             definitions = _definition(self._before, before), _definition(self._after, after)
@@ -116,7 +116,7 @@
             for old, new in zip(before, after, strict=False):
                 yield from self.differences(old, new, inside)
         elif name in ("minimum", "maximum") and before is None:
-            return  # a bound on what is read: whatever a correct process writes lies within it
+            return  # an added bound on values that are read; values that correct processes write are within it
         else:
             yield from self.differences(before, after, inside)
 
--- a/src/cloverplank/serve.py
+++ b/src/cloverplank/serve.py
@@ -1,4 +1,4 @@
-"""The process of a controller: sockets, clocks, logging."""
+"""The process of a controller: its servers, its clock, logging and garbage collection."""
 
 from __future__ import annotations
 
@@ -43,10 +43,10 @@
 
 
 def serve(platform: PlatformSettings, operator: OperatorSettings) -> None:
-    """Run a controller until the process is killed. LOG_LEVEL sets what is logged to standard error."""
+    """Run a controller until the process is killed. LOG_LEVEL sets the minimum level logged to standard error."""
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "error").lower(), logging.ERROR)
     logging.basicConfig(stream=sys.stderr, level=level, format="%(levelname).1s %(name)s: %(message)s")
-    # What was made at the start stays; collections look at the rest only.
+    # Objects made during startup live as long as the process, so collections skip them.
     gc.collect()
     gc.freeze()
     gc.set_threshold(50_000, 20, 50)
--- a/tests/loopback/test_rollout.py
+++ b/tests/loopback/test_rollout.py
@@ -39,5 +39,5 @@
         await asyncio.sleep(2)
         await scenario(cluster, random.Random(SEED))
     refusal = await cluster.command("rollout", "status", exit_code=1)
-    assert "no answer from the state service" in refusal
+    assert "no response from the key-value store" in refusal
     assert refusal.count("\n") == 1
--- a/tests/net/test_net.py
+++ b/tests/net/test_net.py
@@ -48,8 +48,8 @@
     return make_response(200, [request.method, request.path, len(request.body)])
 
 
-def talk(*parts: bytes, pause: float = 0.0, end: bool = True) -> tuple[bytes, bool, float]:
-    """Return what the server writes, whether it closed the connection, and the seconds that it took."""
+def serve_bytes(*parts: bytes, pause: float = 0.0, end: bool = True) -> tuple[bytes, bool, float]:
+    """Send parts to a server; return its output, whether it closed the connection, and the elapsed seconds."""
 
     async def exchange() -> tuple[bytes, bool, float]:
         loop = asyncio.get_running_loop()
@@ -78,13 +78,13 @@
 
 
 def test_connection_persists_after_a_response() -> None:
-    data, closed, _ = talk(post("/a", b"12"), b"GET /b?x=1 HTTP/1.1\r\nHost: x\r\n\r\n")
+    data, closed, _ = serve_bytes(post("/a", b"12"), b"GET /b?x=1 HTTP/1.1\r\nHost: x\r\n\r\n")
     assert data.count(b"HTTP/1.1 200") == 2
     assert closed
 
 
 def test_declared_body_over_the_limit_is_refused_at_once() -> None:
-    data, closed, elapsed_s = talk(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n", end=False)
+    data, closed, elapsed_s = serve_bytes(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n", end=False)
     assert data.startswith(b"HTTP/1.1 400")
     assert closed
     assert elapsed_s < 0.1
@@ -92,18 +92,20 @@
 
 def test_chunked_body_over_the_limit_is_refused() -> None:
     chunk = b"8000\r\n" + b"x" * 0x8000 + b"\r\n"
-    data, closed, _ = talk(b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk * 3, end=False)
+    data, closed, _ = serve_bytes(
+        b"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk * 3, end=False
+    )
     assert data.startswith(b"HTTP/1.1 400")
     assert closed
 
 
 def test_handler_failure_does_not_end_the_connection() -> None:
-    data, _, _ = talk(post("/fails", b""), post("/a", b""))
+    data, _, _ = serve_bytes(post("/fails", b""), post("/a", b""))
     assert data.index(b"HTTP/1.1 503") < data.index(b"HTTP/1.1 200")
 
 
 def test_stalled_request_times_out() -> None:
-    data, closed, elapsed_s = talk(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n123", end=False)
+    data, closed, elapsed_s = serve_bytes(b"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\n123", end=False)
     assert data == b""
     assert closed
     assert elapsed_s < 10
@@ -116,13 +118,13 @@
     )
 )
 def test_malformed_input_ends_in_a_response_or_a_close(parts: list[bytes]) -> None:
-    data, closed, _ = talk(*parts)
+    data, closed, _ = serve_bytes(*parts)
     assert closed
     assert not data or data.startswith(b"HTTP/1.1 ")
 
 
 class ResetWriter(RecordingWriter):
-    """A connection that was reset while it was idle, as uvloop shows it."""
+    """A writer of a connection that was reset while it was idle, as it behaves with uvloop."""
 
     def __init__(self, is_known: bool) -> None:
         super().__init__()
@@ -137,7 +139,7 @@
 
 @pytest.mark.parametrize("is_known", [True, False], ids=["seen as closing", "seen as open"])
 def test_idle_connection_that_was_reset_raises_no_response(is_known: bool) -> None:
-    """Without this, RuntimeError would end the loop that renews the lease, and with it the process."""
+    """uvloop raises RuntimeError here; uncaught, it would end the loop that renews the lease, and with it the process."""
 
     async def play() -> int:
         client = Client(4)
@@ -206,7 +208,7 @@
 
 
 def test_address_that_is_not_ipv4_is_refused() -> None:
-    """Workers state their own addresses: a name must not be resolved."""
+    """Workers send their own addresses, so a name must not be resolved."""
 
     async def play() -> None:
         client = Client(8)
--- a/tests/settings/test_operator_settings.py
+++ b/tests/settings/test_operator_settings.py
@@ -108,7 +108,7 @@
 
 
 def test_file_of_comments_is_read_without_importing_protobuf(tmp_path: Path) -> None:
-    """The import would make each start slower, and work waits during a restart."""
+    """Importing protobuf slows down each start, and work waits during a restart."""
     file = tmp_path / "operator.txtpb"
     file.write_text("# zones { enabled: true }\n\n")
     code = (
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -69,7 +69,7 @@
 
 
 def test_lowest_limits_hold_before_and_after_the_coming_change() -> None:
-    """The change comes without notice: absent limits stay, and none is raised early."""
+    """The change takes effect without notice: absent limits stay as they are, and none is raised early."""
     coming = "[facts.state.next]\nwrite_rps = 40.0\ntxn_ops = 99\nof_tomorrow = 1\n"
     lowest = parse_platform(GOOD + coming).facts.state.lowest()
     assert lowest == StateLimits(rps=300.0, write_rps=40.0, value_kb=8.0, txn_ops=12)
--- a/tests/settings/test_status_commands.py
+++ b/tests/settings/test_status_commands.py
@@ -1,4 +1,4 @@
-"""The commands that show a status, from committed keys."""
+"""Status commands, which read committed keys."""
 
 from __future__ import annotations
 
--- a/tests/test_load_meter.py
+++ b/tests/test_load_meter.py
@@ -11,7 +11,7 @@
 
 
 class ProcessorClock:
-    """A processor clock that advances only where a test says so."""
+    """A processor clock that advances only in `work`."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -40,7 +40,7 @@
 
 
 def test_interleaved_coroutines_are_charged_step_by_step() -> None:
-    """What one coroutine does while the other is suspended must not be charged to the other."""
+    """Guards against charging the work of one coroutine to another one that is suspended meanwhile."""
     clock = ProcessorClock()
     meter = LoadMeter(clock)
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""The start of a process: what it imports, and where it finds bytecode. Work waits for every restart."""
+"""The start of a process: its imports, and its bytecode cache. Work waits during every restart."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run_in_new_process(code: str) -> str:
-    """Run Python code in a process of its own; return what it prints."""
+    """Run Python code in a separate process; return its standard output."""
     found = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True, timeout=60
     )
@@ -29,7 +29,7 @@
 
 
 def test_bytecode_is_read_from_where_the_build_writes_it() -> None:
-    """Compiling the sources anew took half of the time until a process served."""
+    """Without cached bytecode, compiling the sources takes half of the time until a process serves."""
     service = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
     assert "target/bytecode" in service["build"]
     assert "import run, cloverplank.serve" in service["build"]
