--- a/src/cloverplank/api/blocked_jobs.py
+++ b/src/cloverplank/api/blocked_jobs.py
@@ -6,7 +6,7 @@
 import logging
 
 from cloverplank.api.job_access import JobAccess
-from cloverplank.api.responses import busy, job_response
+from cloverplank.api.responses import job_response, service_unavailable
 from cloverplank.basic_types import JobId
 from cloverplank.jobs import dependencies
 from cloverplank.jobs.blocked import BlockedJob
@@ -46,13 +46,13 @@
         Raises StoreError or TimeoutError where the key-value store does not respond.
         """
         if self.is_cache_stale():
-            return busy()
+            return service_unavailable()
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             if not await self.has_cancelled_upstream(job):
                 return make_response(200, job_response(job.id, job))
             if await self.cancel(job):
                 return make_response(200, JobResponse(job.id, "cancelled"))
-        return busy()
+        return service_unavailable()
 
     async def has_cancelled_upstream(self, job: BlockedJob) -> bool:
         """Return whether a direct or indirect upstream job of the job is cancelled.
--- a/src/cloverplank/api/responses.py
+++ b/src/cloverplank/api/responses.py
@@ -12,7 +12,7 @@
 MAX_RETRY_AFTER_S = 30  # users accept no longer Retry-After
 
 
-def busy(retry_after_s: float = 1.0) -> Response:
+def service_unavailable(retry_after_s: float = 1.0) -> Response:
     """Return a 503 with a Retry-After header in whole seconds, from 1 to MAX_RETRY_AFTER_S."""
     retry_after = max(1, min(MAX_RETRY_AFTER_S, round(retry_after_s)))
     return make_response(503, ErrorResponse("not now"), Retry_After=str(retry_after))
--- a/src/cloverplank/api/submission.py
+++ b/src/cloverplank/api/submission.py
@@ -11,7 +11,7 @@
 
 from cloverplank.api.blocked_jobs import BlockedJobResponses
 from cloverplank.api.job_access import JobAccess
-from cloverplank.api.responses import busy, job_response
+from cloverplank.api.responses import job_response, service_unavailable
 from cloverplank.basic_types import MS_PER_SECOND, JobId, MonotonicTime
 from cloverplank.errors import CloverplankError
 from cloverplank.jobs.blocked import BlockedJob
@@ -100,7 +100,7 @@
         if self._watch_cache.knows(job_id):
             return await self._respond_to_duplicate(job_id)
         if self._client.is_down() or not self._limits.machine_types():
-            return busy()
+            return service_unavailable()
         try:
             acceptance = await self._prepare(submission, len(body))
         except SubmissionRejectedError as rejection:
@@ -108,7 +108,7 @@
             return response or make_response(rejection.status, ErrorResponse(rejection.reason))
         wait_s = self._queue.wait_estimate()
         if wait_s > MAX_COMMIT_WAIT_S:
-            return busy(wait_s)
+            return service_unavailable(wait_s)
         return await self._commit(submission, acceptance, received_at)
 
     async def _commit(self, submission: Submission, acceptance: _Acceptance, received_at: MonotonicTime) -> Response:
--- a/src/cloverplank/api/users.py
+++ b/src/cloverplank/api/users.py
@@ -10,7 +10,7 @@
 
 from cloverplank.api.blocked_jobs import BlockedJobResponses
 from cloverplank.api.job_access import JobAccess
-from cloverplank.api.responses import busy, job_response
+from cloverplank.api.responses import job_response, service_unavailable
 from cloverplank.api.submission import Submissions
 from cloverplank.basic_types import JobId
 from cloverplank.jobs import records
@@ -65,7 +65,7 @@
             return await route.handle()
         except (StoreError, TimeoutError) as err:
             log.debug("%s %s: responding with 503: %s", request.method, request.path, err)
-            return busy()
+            return service_unavailable()
 
     def _route(self, request: Request) -> _Route | None:
         match request.path[len(JOBS_PATH) :].strip("/").split("/"):
@@ -94,7 +94,7 @@
             return _no_such_job()
         job_id = JobId(name)
         if self._client.is_down() and self._watch_cache.final(job_id) is None:
-            return busy()
+            return service_unavailable()
         async with asyncio.timeout(CANCEL_TIMEOUT_S):
             while True:
                 job = await self._reader.read(job_id)
