--- a/src/cloverplank/api/submission.py
+++ b/src/cloverplank/api/submission.py
@@ -21,7 +21,7 @@
 from cloverplank.kvstore.errors import OutcomeUnknownError
 from cloverplank.kvstore.job_transitions import job_absent
 from cloverplank.kvstore.transaction_priority import TransactionPriority
-from cloverplank.net.messages import Response, make_response, undecodable
+from cloverplank.net.messages import Response, bad_request, make_response
 from cloverplank.scheduling.admission import rejection_reason
 from cloverplank.scheduling.quotas import Quota
 from cloverplank.wire.cloud import MachineType
@@ -95,7 +95,7 @@
         try:
             submission = decode_submission(body)
         except MessageDecodeError as err:
-            return await self._respond_if_invalid_duplicate(body) or undecodable(err)
+            return await self._respond_if_invalid_duplicate(body) or bad_request(err)
         job_id = JobId(submission.spec.id)
         if self._watch_cache.knows(job_id):
             return await self._respond_to_duplicate(job_id)
--- a/src/cloverplank/api/users.py
+++ b/src/cloverplank/api/users.py
@@ -19,7 +19,7 @@
 from cloverplank.jobs.store import ChangeOutcome, PendingChange
 from cloverplank.kvstore.errors import StoreError
 from cloverplank.kvstore.transaction_priority import TransactionPriority
-from cloverplank.net.messages import Request, Response, make_response, method_not_allowed, no_such_path
+from cloverplank.net.messages import Request, Response, make_response, method_not_allowed, not_found
 from cloverplank.wire.users import JOBS_PATH, ErrorResponse, JobResponse, valid_job_id
 
 log = logging.getLogger(__name__)
@@ -58,7 +58,7 @@
         """Return the response to a request under JOBS_PATH."""
         route = self._route(request)
         if route is None:
-            return no_such_path()
+            return not_found()
         if request.method != route.method:
             return method_not_allowed(route.method)
         try:
--- a/src/cloverplank/controller/routing.py
+++ b/src/cloverplank/controller/routing.py
@@ -9,7 +9,7 @@
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.load_meter import LoadMeter, Part
 from cloverplank.membership.gossip import PeerGossip
-from cloverplank.net.messages import Request, Response, make_response, method_not_allowed, no_such_path
+from cloverplank.net.messages import Request, Response, make_response, method_not_allowed, not_found
 from cloverplank.shard.heartbeat_handler import HeartbeatHandler
 from cloverplank.wire.users import JOBS_PATH, ErrorResponse
 from cloverplank.wire.workers import HEARTBEAT_PATH
@@ -53,7 +53,7 @@
             return await self._meter.metered(Part.USERS, self._users.handle(request))
         if path == READY_PATH:
             return self._readiness(request)
-        return no_such_path()
+        return not_found()
 
     async def peer(self, request: Request) -> Response:
         """Return the response to another controller."""
--- a/src/cloverplank/membership/gossip.py
+++ b/src/cloverplank/membership/gossip.py
@@ -23,10 +23,10 @@
     NoResponseError,
     Request,
     Response,
+    bad_request,
     make_response,
     method_not_allowed,
-    no_such_path,
-    undecodable,
+    not_found,
 )
 from cloverplank.settings.platform import Peer, PlatformSettings
 from cloverplank.wire.codec import MessageDecodeError, decode, encode
@@ -157,13 +157,13 @@
     async def handle(self, request: Request) -> Response:
         """Handle a request of a peer."""
         if request.path != GOSSIP_PATH:
-            return no_such_path()
+            return not_found()
         if request.method != "POST":
             return method_not_allowed("POST")
         try:
             message = decode(request.body, GossipMessage)
         except MessageDecodeError as err:
-            return undecodable(err)
+            return bad_request(err)
         if message.node not in {peer.label for peer in self._platform.peers}:
             return make_response(400, ErrorResponse("unknown peer"))
         self._take(message)
--- a/src/cloverplank/net/messages.py
+++ b/src/cloverplank/net/messages.py
@@ -75,7 +75,7 @@
     return Response(status, b"" if value is None else encode(value), named)
 
 
-def no_such_path() -> Response:
+def not_found() -> Response:
     """Return the response to a request for an unknown path."""
     return make_response(HTTPStatus.NOT_FOUND, ErrorResponse("no such path"))
 
@@ -85,6 +85,6 @@
     return make_response(HTTPStatus.METHOD_NOT_ALLOWED, ErrorResponse(f"{allowed} only"), Allow=allowed)
 
 
-def undecodable(err: MessageDecodeError) -> Response:
+def bad_request(err: MessageDecodeError) -> Response:
     """Return the response to a request whose body is not the expected message."""
     return make_response(HTTPStatus.BAD_REQUEST, ErrorResponse(str(err)[:MAX_ERROR_CHARACTERS]))
--- a/src/cloverplank/shard/heartbeat_handler.py
+++ b/src/cloverplank/shard/heartbeat_handler.py
@@ -11,7 +11,7 @@
 from cloverplank.kvstore.controller_lease import ControllerLease, LeaseState
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.membership.gossip import PeerGossip
-from cloverplank.net.messages import Response, make_response, undecodable
+from cloverplank.net.messages import Response, bad_request, make_response
 from cloverplank.shard.errors import FencedError, HeartbeatRefusedError
 from cloverplank.shard.owned_shards import OwnedShards
 from cloverplank.wire.codec import MessageDecodeError, decode
@@ -47,7 +47,7 @@
         try:
             heartbeat = decode(body, Heartbeat)
         except MessageDecodeError as err:
-            return undecodable(err)
+            return bad_request(err)
         if not self._gossip.note_worker(heartbeat.zone, heartbeat.machine):
             return make_response(HTTPStatus.MISDIRECTED_REQUEST, Redirect())
         if heartbeat.machine in self._registry.terminated:
