--- a/src/cloverplank/autoscaling/cloud.py
+++ b/src/cloverplank/autoscaling/cloud.py
@@ -11,7 +11,7 @@
 from cloverplank.basic_types import Clock, MonotonicTime
 from cloverplank.errors import CloverplankError
 from cloverplank.kvstore.token_bucket import TokenBucket
-from cloverplank.net.messages import Http, NoResponseError, Response
+from cloverplank.net.messages import HttpClient, NoResponseError, Response
 from cloverplank.wire.cloud import (
     MACHINES_PATH,
     MAX_TERMINATE,
@@ -73,7 +73,7 @@
 class CloudClient:
     """Sends at most `rps` requests per second to the cloud. All methods raise CloudUnavailableError."""
 
-    def __init__(self, http: Http, addr: str, clock: Clock, rps: float) -> None:
+    def __init__(self, http: HttpClient, addr: str, clock: Clock, rps: float) -> None:
         self._http = http
         self._addr = addr
         self._token_bucket = TokenBucket(rps, clock, burst_s=TOKEN_BUCKET_BURST_S)
--- a/src/cloverplank/controller/composition.py
+++ b/src/cloverplank/controller/composition.py
@@ -29,7 +29,7 @@
 from cloverplank.load_meter import LoadMeter, NoMeter, Part
 from cloverplank.membership.failure_detector import FailureDetector, WorkerCounts
 from cloverplank.membership.gossip import PeerGossip
-from cloverplank.net.messages import Http
+from cloverplank.net.messages import HttpClient
 from cloverplank.scheduling.headroom import Headroom
 from cloverplank.scheduling.objectives import ServiceLevelObjectives
 from cloverplank.settings.operator import OperatorSettings
@@ -49,7 +49,7 @@
         operator: OperatorSettings,
         *,
         clock: Clock,
-        http: Http,
+        http: HttpClient,
         rng: random.Random,
         meter: LoadMeter | None = None,
     ) -> None:
--- a/src/cloverplank/controller/environment.py
+++ b/src/cloverplank/controller/environment.py
@@ -10,7 +10,7 @@
 from cloverplank.jobs.size_limits import RecordSizeLimits
 from cloverplank.kvstore.controller_lease import LeaseTimes
 from cloverplank.load_meter import LoadMeter
-from cloverplank.net.messages import Http
+from cloverplank.net.messages import HttpClient
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.settings.operator import OperatorSettings
 from cloverplank.settings.platform import PlatformSettings, StateLimits, contact_bound
@@ -27,7 +27,7 @@
     platform: PlatformSettings
     operator: OperatorSettings
     clock: Clock
-    http: Http
+    http: HttpClient
     rng: random.Random
     meter: LoadMeter
 
--- a/src/cloverplank/kvstore/client.py
+++ b/src/cloverplank/kvstore/client.py
@@ -17,7 +17,7 @@
     TransactionRejectedError,
 )
 from cloverplank.kvstore.token_bucket import TokenBucket
-from cloverplank.net.messages import Http, NoResponseError, RequestNotSentError, Response
+from cloverplank.net.messages import HttpClient, NoResponseError, RequestNotSentError, Response
 from cloverplank.wire.codec import MessageDecodeError, decode, encode
 from cloverplank.wire.kvstore import (
     KeyValue,
@@ -51,7 +51,7 @@
     """
 
     def __init__(
-        self, http: Http, addr: str, clock: Clock, request_tokens: TokenBucket, change_tokens: TokenBucket
+        self, http: HttpClient, addr: str, clock: Clock, request_tokens: TokenBucket, change_tokens: TokenBucket
     ) -> None:
         self._http = http
         self._addr = addr
--- a/src/cloverplank/membership/gossip.py
+++ b/src/cloverplank/membership/gossip.py
@@ -18,7 +18,7 @@
 from cloverplank.kvstore.controller_lease import ControllerLease
 from cloverplank.kvstore.transaction_queue import TransactionQueue
 from cloverplank.net.messages import (
-    Http,
+    HttpClient,
     NoFreeSocketError,
     NoResponseError,
     Request,
@@ -91,7 +91,7 @@
         platform: PlatformSettings,
         *,
         clock: Clock,
-        http: Http,
+        http: HttpClient,
         rng: random.Random,
         controller_lease: ControllerLease,
         client: StoreClient,
--- a/src/cloverplank/net/messages.py
+++ b/src/cloverplank/net/messages.py
@@ -57,7 +57,7 @@
     """All sockets for requests are in use: the request was not attempted, which does not indicate a failed server."""
 
 
-class Http(Protocol):
+class HttpClient(Protocol):
     """Interface through which a controller sends requests; `Client` implements it over sockets."""
 
     async def request(
--- a/src/cloverplank/shard/state.py
+++ b/src/cloverplank/shard/state.py
@@ -10,7 +10,7 @@
 from cloverplank.jobs.store import JobStore
 from cloverplank.kvstore.transaction_queue import TransactionQueue
 from cloverplank.load_meter import LoadMeter
-from cloverplank.net.messages import Http
+from cloverplank.net.messages import HttpClient
 from cloverplank.shard.machine import Machine
 from cloverplank.shard.ownership import ShardOwnership
 from cloverplank.shard.shard_types import ShardLimits, StopRequest, TaskState
@@ -33,7 +33,7 @@
     clock: Clock
     store: JobStore
     queue: TransactionQueue
-    http: Http
+    http: HttpClient
     limits: ShardLimits
     machine_types: Callable[[], dict[str, MachineType]]
     draining: DrainingMachines
--- a/src/cloverplank/shard/task_reconciler.py
+++ b/src/cloverplank/shard/task_reconciler.py
@@ -14,7 +14,7 @@
 from cloverplank.jobs.records import Phase
 from cloverplank.jobs.store import CachedJob
 from cloverplank.load_meter import LoadMeter, Part
-from cloverplank.net.messages import Http, NoFreeSocketError, NoResponseError, RequestNotSentError
+from cloverplank.net.messages import HttpClient, NoFreeSocketError, NoResponseError, RequestNotSentError
 from cloverplank.shard.errors import FencedError
 from cloverplank.shard.machine import Health, Machine, UnresolvedStart
 from cloverplank.shard.shard_types import TaskState, placed_refs
@@ -60,7 +60,11 @@
     """
 
     def __init__(
-        self, state: ShardState, http: Http, meter: LoadMeter, apply_response: Callable[[Machine, Heartbeat], None]
+        self,
+        state: ShardState,
+        http: HttpClient,
+        meter: LoadMeter,
+        apply_response: Callable[[Machine, Heartbeat], None],
     ) -> None:
         self._state = state
         self._http = http
