--- a/src/cloverplank/api/users.py
+++ b/src/cloverplank/api/users.py
@@ -35,7 +35,7 @@
     handle: Callable[[], Awaitable[Response]]
 
 
-class Users:
+class JobRequestHandler:
     """Handles users' requests; `cancelled` is called after this controller has committed a cancellation."""
 
     def __init__(
--- a/src/cloverplank/controller/builders.py
+++ b/src/cloverplank/controller/builders.py
@@ -7,7 +7,7 @@
 from cloverplank.api.blocked_jobs import BlockedJobResponses
 from cloverplank.api.job_access import JobAccess
 from cloverplank.api.submission import SubmissionLimits, Submissions
-from cloverplank.api.users import Users
+from cloverplank.api.users import JobRequestHandler
 from cloverplank.autoscaling.registry import MachineRegistry
 from cloverplank.basic_types import JobId, NodeId, Zone
 from cloverplank.controller.environment import Environment
@@ -28,7 +28,7 @@
     *,
     machine_types: Callable[[], dict[str, MachineType]],
     cancelled: Callable[[JobId], None],
-) -> Users:
+) -> JobRequestHandler:
     """Build the users' interface. `cancelled` is called after a cancellation was committed."""
     facts = environment.platform.facts
     job_access = JobAccess(
@@ -46,7 +46,7 @@
     )
     blocked_jobs = BlockedJobResponses(job_access, facts.workers.cancel_s)
     submissions = Submissions(job_access, limits, blocked_jobs)
-    return Users(job_access, submissions, blocked_jobs, cancelled=cancelled)
+    return JobRequestHandler(job_access, submissions, blocked_jobs, cancelled=cancelled)
 
 
 def build_zone_watch(environment: Environment, access: StoreAccess, registry: MachineRegistry) -> ZoneWatch:
--- a/src/cloverplank/controller/routing.py
+++ b/src/cloverplank/controller/routing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cloverplank.api.users import Users
+from cloverplank.api.users import JobRequestHandler
 from cloverplank.controller.machine_types import MachineTypeCatalog
 from cloverplank.kvstore.client import StoreClient
 from cloverplank.kvstore.controller_lease import ControllerLease
@@ -30,7 +30,7 @@
         watch_cache: WatchCache,
         machine_types: MachineTypeCatalog,
         heartbeat_handler: HeartbeatHandler,
-        users: Users,
+        users: JobRequestHandler,
         gossip: PeerGossip,
     ) -> None:
         self._meter = meter
