--- a/src/cloverplank/api/submission.py
+++ b/src/cloverplank/api/submission.py
@@ -25,7 +25,7 @@
 from cloverplank.scheduling.admission import rejection_reason
 from cloverplank.scheduling.quotas import Quota
 from cloverplank.wire.cloud import MachineType
-from cloverplank.wire.codec import MAX_BODY, MessageDecodeError, decode, json_size
+from cloverplank.wire.codec import MAX_BODY_BYTES, MessageDecodeError, decode, json_size
 from cloverplank.wire.kvstore import Put, Transaction
 from cloverplank.wire.users import ErrorResponse, JobResponse, JobSpec, Submission, decode_submission, valid_job_id
 
@@ -162,7 +162,7 @@
         if json_size(JobRecord(spec, self._clock.wall_ms())) > self._limits.value_bytes * NEW_RECORD_FRACTION:
             raise SubmissionRejectedError(400, "description too large")
         blocked = BlockedJobRecord(spec, self._clock.wall_ms(), list(upstream))
-        if json_size(blocked) > self._limits.value_bytes or body_bytes > MAX_BODY:
+        if json_size(blocked) > self._limits.value_bytes or body_bytes > MAX_BODY_BYTES:
             raise SubmissionRejectedError(400, "description too large: it needs too many unfinished jobs")
 
     async def _check_upstream(self, submission: Submission) -> _UpstreamResult:
--- a/src/cloverplank/net/server.py
+++ b/src/cloverplank/net/server.py
@@ -13,7 +13,7 @@
 from cloverplank.load_meter import LoadMeter, NoMeter, Part
 from cloverplank.net.messages import Handler, Request, Response, make_response
 from cloverplank.net.sockets import FrontSockets
-from cloverplank.wire.codec import MAX_BODY
+from cloverplank.wire.codec import MAX_BODY_BYTES
 from cloverplank.wire.users import ErrorResponse
 
 log = logging.getLogger(__name__)
@@ -79,7 +79,7 @@
 
     async def start(self, host: str, port: int) -> asyncio.Server:
         """Start to listen. Raises OSError where the address can't be used."""
-        return await asyncio.start_server(self._serve, host, port, backlog=BACKLOG, limit=MAX_BODY * 2)
+        return await asyncio.start_server(self._serve, host, port, backlog=BACKLOG, limit=MAX_BODY_BYTES * 2)
 
     def _sweep(self) -> None:
         """Expire connections that are past their deadlines; idle ones earlier while sockets are scarce."""
@@ -183,7 +183,7 @@
                     return _too_large()
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > MAX_BODY:
+                if size > MAX_BODY_BYTES:
                     return _too_large()
                 chunks.append(bytes(event.data))
             else:
@@ -231,7 +231,7 @@
 
 def _declares_too_large_body(head: h11.Request) -> bool:
     for name, value in head.headers:
-        if name == b"content-length" and (len(value) > MAX_LENGTH_DIGITS or int(value) > MAX_BODY):
+        if name == b"content-length" and (len(value) > MAX_LENGTH_DIGITS or int(value) > MAX_BODY_BYTES):
             return True
     return False
 
--- a/src/cloverplank/wire/codec.py
+++ b/src/cloverplank/wire/codec.py
@@ -9,7 +9,7 @@
 
 from cloverplank.errors import CloverplankError
 
-MAX_BODY = 64 * 1024  # limit in bytes of a request, and of a response to users and workers
+MAX_BODY_BYTES = 64 * 1024  # limit in bytes of a request, and of a response to users and workers
 T = TypeVar("T")
 
 _encoder = msgspec.msgpack.Encoder()
--- a/tests/simulation/test_many_machines.py
+++ b/tests/simulation/test_many_machines.py
@@ -21,7 +21,7 @@
 from cloverplank.scheduling.quotas import Quota
 from cloverplank.settings.operator import OperatorSettings
 from cloverplank.wire.cloud import ListedMachine, MachineList
-from cloverplank.wire.codec import MAX_BODY, encode
+from cloverplank.wire.codec import MAX_BODY_BYTES, encode
 from cloverplank.wire.gossip import GossipMessage, MachineGossip
 from cloverplank.wire.users import JobSpec
 from tests.jobs.test_records import spec
@@ -63,7 +63,7 @@
         [machine] * MAX_MACHINES_PER_MESSAGE,
         cancelled=cancelled,
     )
-    assert len(encode(message)) <= MAX_BODY
+    assert len(encode(message)) <= MAX_BODY_BYTES
     assert MAX_MACHINES_PER_MESSAGE <= MAX_MACHINES
 
 
