--- a/src/cloverplank/kvstore/linearizable_reader.py
+++ b/src/cloverplank/kvstore/linearizable_reader.py
@@ -22,7 +22,7 @@
 from cloverplank.kvstore.job_transitions import job_absent
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.wire.codec import MessageDecodeError, decode
-from cloverplank.wire.kvstore import COMPARES_PER_CHANGE, Compare, Transaction
+from cloverplank.wire.kvstore import MAX_COMPARES_PER_CHANGE, Compare, Transaction
 
 log = logging.getLogger(__name__)
 
@@ -59,7 +59,7 @@
         self._client = client
         self._clock = clock
         self._watch_cache = watch_cache
-        self._max_compares = txn_ops * COMPARES_PER_CHANGE
+        self._max_compares = txn_ops * MAX_COMPARES_PER_CHANGE
         self._queued: dict[JobId, asyncio.Future[JobState]] = {}
         self._batch_tasks = 0
         self._tasks = BackgroundTasks()
--- a/src/cloverplank/rollout/commits.py
+++ b/src/cloverplank/rollout/commits.py
@@ -11,7 +11,7 @@
 from cloverplank.records.rollout import FormatRecord, RolloutPhase
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.rollout.steps import Step
-from cloverplank.wire.kvstore import COMPARES_PER_CHANGE, Compare, Delete, Put, Transaction
+from cloverplank.wire.kvstore import MAX_COMPARES_PER_CHANGE, Compare, Delete, Put, Transaction
 
 FIXED_COMPARES = 3  # leader, rollout, format
 FIXED_CHANGES = 2  # rollout, format
@@ -26,7 +26,7 @@
 
 def step_limits(txn_ops: int) -> StepLimits:
     """Return what a transaction of `txn_ops` changes leaves besides the keys of the rollout itself."""
-    return StepLimits(txn_ops * COMPARES_PER_CHANGE - FIXED_COMPARES, max(0, txn_ops - FIXED_CHANGES))
+    return StepLimits(txn_ops * MAX_COMPARES_PER_CHANGE - FIXED_COMPARES, max(0, txn_ops - FIXED_CHANGES))
 
 
 class StepCommits:
--- a/src/cloverplank/wire/kvstore.py
+++ b/src/cloverplank/wire/kvstore.py
@@ -6,7 +6,7 @@
 
 from msgspec import Raw, Struct, field
 
-COMPARES_PER_CHANGE = 4  # a transaction may have so many conditions for each change that it may make
+MAX_COMPARES_PER_CHANGE = 4  # a transaction may have this many conditions for each change that it may make
 
 
 class Compare(Struct, frozen=True):
