--- a/tests/kvstore/test_controller_lease.py
+++ b/tests/kvstore/test_controller_lease.py
@@ -18,7 +18,7 @@
 from cloverplank.settings import InvalidSettingsError
 from cloverplank.settings.platform import contact_bound, parse_platform
 from cloverplank.wire.kvstore import Transaction, TransactionResponse
-from tests.settings.test_settings import GOOD
+from tests.settings.test_settings import VALID_SETTINGS
 from tests.simulation.actions import cancel_running_jobs, leader, other_controllers, shard_owner
 from tests.simulation.day import check
 from tests.simulation.loop import run
@@ -54,7 +54,9 @@
 
     With a short cancel_s, shard owners then answer workers for too long.
     """
-    text = GOOD.replace("lease_s = 8.0", f"lease_s = {lease_s}").replace("cancel_s = 30.0", f"cancel_s = {cancel_s}")
+    text = VALID_SETTINGS.replace("lease_s = 8.0", f"lease_s = {lease_s}").replace(
+        "cancel_s = 30.0", f"cancel_s = {cancel_s}"
+    )
     refusal = None
     try:
         parse_platform(text)
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -16,9 +16,9 @@
 from cloverplank.settings.operator import TABLE, OperatorSettings, parse_operator, read_operator
 from cloverplank.settings.platform import MachineLimits, StateLimits, parse_platform
 from tests.simulation.world import PEER, SETTINGS, TEAM
-from tests.wire.test_wire import GOOD as SUBMISSION
+from tests.wire.test_wire import VALID_SUBMISSION
 
-GOOD = SETTINGS.format(
+VALID_SETTINGS = SETTINGS.format(
     label="c-0",
     zone="a",
     zones='["a"]',
@@ -29,11 +29,11 @@
 )
 
 
-FIELDS = {name: value for name, value in SUBMISSION.items() if value is not None}
+FIELDS = {name: value for name, value in VALID_SUBMISSION.items() if value is not None}
 
 
 def test_unknown_fields_are_ignored() -> None:
-    assert parse_platform("tomorrow = 1\n" + GOOD + "\n[facts.more]\nx = 1\n").label == "c-0"
+    assert parse_platform("tomorrow = 1\n" + VALID_SETTINGS + "\n[facts.more]\nx = 1\n").label == "c-0"
 
 
 @pytest.mark.parametrize(
@@ -63,7 +63,7 @@
 )
 def test_invalid_platform_field_is_refused_in_one_line(old: str, new: str, named: str) -> None:
     with pytest.raises(InvalidSettingsError) as raised:
-        parse_platform(GOOD.replace(old, new, 1))
+        parse_platform(VALID_SETTINGS.replace(old, new, 1))
     assert named in str(raised.value)
     assert "\n" not in str(raised.value)
 
@@ -71,15 +71,15 @@
 def test_lowest_limits_hold_before_and_after_the_coming_change() -> None:
     """The change takes effect without notice: absent limits stay as they are, and none is raised early."""
     coming = "[facts.state.next]\nwrite_rps = 40.0\ntxn_ops = 99\nof_tomorrow = 1\n"
-    lowest = parse_platform(GOOD + coming).facts.state.lowest()
+    lowest = parse_platform(VALID_SETTINGS + coming).facts.state.lowest()
     assert lowest == StateLimits(rps=300.0, write_rps=40.0, value_kb=8.0, txn_ops=12)
-    assert parse_platform(GOOD).facts.state.lowest() == parse_platform(GOOD).facts.state
+    assert parse_platform(VALID_SETTINGS).facts.state.lowest() == parse_platform(VALID_SETTINGS).facts.state
 
 
 @pytest.mark.parametrize("line", ["value_kb = 0.5", "value_kb = -2.0", "txn_ops = 1", 'write_rps = "few"', "rps = 0"])
 def test_invalid_coming_limit_is_refused_in_one_line(line: str) -> None:
     with pytest.raises(InvalidSettingsError) as raised:
-        parse_platform(GOOD + "[facts.state.next]\n" + line)
+        parse_platform(VALID_SETTINGS + "[facts.state.next]\n" + line)
     assert line.split(maxsplit=1)[0] in str(raised.value)
     assert "next" in str(raised.value)
     assert "\n" not in str(raised.value)
@@ -89,13 +89,13 @@
 @pytest.mark.parametrize("name", ["cpu", "mem_mb", "sockets"])
 def test_invalid_machine_limit_is_refused_in_one_line(name: str, value: str) -> None:
     with pytest.raises(InvalidSettingsError) as raised:
-        parse_platform(GOOD + f"[facts.machine_limits]\n{name} = {value}")
+        parse_platform(VALID_SETTINGS + f"[facts.machine_limits]\n{name} = {value}")
     assert name in str(raised.value)
     assert "\n" not in str(raised.value)
 
 
 def test_smallest_machine_limits_in_use_are_accepted() -> None:
-    settings = parse_platform(GOOD + "[facts.machine_limits]\ncpu = 0.05\nmem_mb = 64\nsockets = 100")
+    settings = parse_platform(VALID_SETTINGS + "[facts.machine_limits]\ncpu = 0.05\nmem_mb = 64\nsockets = 100")
     assert settings.facts.machine_limits == MachineLimits(cpu=0.05, mem_mb=64.0, sockets=100)
 
 
@@ -141,7 +141,7 @@
 
 def test_valid_settings_pass_the_check(tmp_path: Path) -> None:
     config = tmp_path / "valid.toml"
-    config.write_text(GOOD)
+    config.write_text(VALID_SETTINGS)
     assert invoke("check", "--config", config).exit_code == 0
 
 
--- a/tests/settings/test_status_commands.py
+++ b/tests/settings/test_status_commands.py
@@ -17,7 +17,7 @@
 from cloverplank.wire.codec import encode
 from cloverplank.wire.kvstore import KeyValue
 from cloverplank.zones import status as zones_status
-from tests.settings.test_settings import GOOD
+from tests.settings.test_settings import VALID_SETTINGS
 
 
 def stored(key: str, value: object) -> KeyValue:
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize("command", ["rollout", "zones", "controllers"])
 def test_status_without_a_store_fails_in_one_line(command: str, tmp_path: Path) -> None:
     config = tmp_path / "c-0.toml"
-    config.write_text(GOOD.replace("10.2.0.1:2379", "127.0.0.1:9"))
+    config.write_text(VALID_SETTINGS.replace("10.2.0.1:2379", "127.0.0.1:9"))
     result = CliRunner().invoke(main, [command, "status", "--config", str(config)])
     assert result.exit_code == 1
     assert result.output.count("\n") == 1
--- a/tests/wire/test_wire.py
+++ b/tests/wire/test_wire.py
@@ -12,7 +12,7 @@
 from cloverplank.wire import cloud, gossip, kvstore, users, workers
 from cloverplank.wire.codec import MessageDecodeError, decode, encode
 
-GOOD = {
+VALID_SUBMISSION = {
     "id": "run-000412",
     "lane": "train",
     "crew": "vision",
@@ -56,15 +56,15 @@
 
 
 def test_submission_has_the_names_of_the_protocol() -> None:
-    spec = users.decode_submission(encode(GOOD | {"a field of tomorrow": 1})).spec
+    spec = users.decode_submission(encode(VALID_SUBMISSION | {"a field of tomorrow": 1})).spec
     assert (spec.team, spec.tasks, spec.cpus, spec.deadline_s) == ("vision", 16, 8.0, 900.0)
-    assert decode(encode(spec), dict) == GOOD
+    assert decode(encode(spec), dict) == VALID_SUBMISSION
 
 
-@pytest.mark.parametrize("name", sorted(set(GOOD) - {"builds", "yard", "due_s"}))
+@pytest.mark.parametrize("name", sorted(set(VALID_SUBMISSION) - {"builds", "yard", "due_s"}))
 def test_submission_without_a_required_field_is_refused(name: str) -> None:
     with pytest.raises(MessageDecodeError):
-        users.decode_submission(encode({field: value for field, value in GOOD.items() if field != name}))
+        users.decode_submission(encode({field: value for field, value in VALID_SUBMISSION.items() if field != name}))
 
 
 @pytest.mark.parametrize(
@@ -96,7 +96,7 @@
 )
 def test_submission_with_an_invalid_field_is_refused(change: dict) -> None:
     with pytest.raises(MessageDecodeError):
-        users.decode_submission(encode(GOOD | change))
+        users.decode_submission(encode(VALID_SUBMISSION | change))
 
 
 @given(st.binary(max_size=200) | ANYTHING.map(encode))
@@ -108,10 +108,10 @@
             pass
 
 
-@given(st.dictionaries(st.sampled_from(sorted(GOOD)), ANYTHING, max_size=4))
+@given(st.dictionaries(st.sampled_from(sorted(VALID_SUBMISSION)), ANYTHING, max_size=4))
 def test_submission_of_any_values_is_refused_or_round_trips(change: dict) -> None:
     try:
-        spec = users.decode_submission(encode(GOOD | change)).spec
+        spec = users.decode_submission(encode(VALID_SUBMISSION | change)).spec
     except MessageDecodeError:
         return
     assert users.decode_submission(encode(spec)) == users.Submission(spec, [])
