--- a/src/cloverplank/shard/capacity.py
+++ b/src/cloverplank/shard/capacity.py
@@ -26,7 +26,7 @@
         """Return the free capacity of machines that accept new tasks and have at least `min_cpus` free."""
         state = self._state
         machine_types = state.machine_types()
-        withholds = state.plan.withholds(state.zone)
+        restricts_admission = state.plan.restricts_admission(state.zone)
         free_capacities = []
         for machine in state.machines.values():
             machine_type = machine_types.get(machine.type)
@@ -36,12 +36,12 @@
                 continue  # too few free cpus, which is true of most machines under a backlog
             if machine.id in state.draining or self._is_faulty(machine) or machine.id in state.emptying:
                 continue
-            if withholds and not self._is_reconciled(machine):
+            if restricts_admission and not self._is_reconciled(machine):
                 continue
             capacity = self._cache.capacity(
                 machine.id, state.zone, machine_type, spot=machine.spot, images=machine.known_images
             )
-            capacity.reserved = withholds and not self._is_admitted(machine)
+            capacity.reserved = restricts_admission and not self._is_admitted(machine)
             free_capacities.append(capacity)
         return CapacityIndex(free_capacities, min_cpus, state.plan.may_use_reserved)
 
--- a/src/cloverplank/shard/state.py
+++ b/src/cloverplank/shard/state.py
@@ -15,12 +15,12 @@
 from cloverplank.shard.ownership import ShardOwnership
 from cloverplank.shard.shard_types import ShardLimits, StopRequest, TaskState
 from cloverplank.wire.cloud import MachineType
-from cloverplank.zones.plan import ClassOrder, PlanLimits, StartRateLimiter, ZonePlan
+from cloverplank.zones.recovery_plan import ClassOrder, RecoveryLimits, RecoveryPlan, StartRateLimiter
 
 MAX_MACHINES = 20_000  # per zone; bounds memory use
 OWNER_DISCOVERY_S = 4.0  # time limit within which workers find a new owner
 # Treats all zones as healthy; replaced by the first call of `Shard.place`.
-INITIAL_PLAN = ZonePlan({}, PlanLimits(0, 0.0, 0), ClassOrder(), WallTimeMs(0), lambda record, now: None)
+INITIAL_PLAN = RecoveryPlan({}, RecoveryLimits(0, 0.0, 0), ClassOrder(), WallTimeMs(0), lambda record, now: None)
 
 
 @dataclass(frozen=True, kw_only=True)
