--- a/tests/simulation/rollout_model.py
+++ b/tests/simulation/rollout_model.py
@@ -28,12 +28,12 @@
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.records.cluster import NO_LEASE, LeaderRecord, NodeRecord
 from cloverplank.records.rollout import RolloutPhase, RolloutRecord
-from cloverplank.rollout import steps
-from cloverplank.rollout.commits import StepCommits, step_limits
+from cloverplank.rollout import state_machine
 from cloverplank.rollout.committed import CommittedRollout
 from cloverplank.rollout.driver import directives_from
 from cloverplank.rollout.fence import CommittedVersionFence
-from cloverplank.rollout.observation import observe
+from cloverplank.rollout.observation import collect_facts
+from cloverplank.rollout.step_transactions import StepTransactionBuilder, step_limits
 from cloverplank.settings.rollout import RolloutSettings
 from cloverplank.wire.codec import encode
 from cloverplank.wire.kvstore import Compare, Put, Transaction
@@ -258,7 +258,7 @@
         unconverted = self._unconverted_jobs(watch_cache, current, since)
         configured = frozenset(NodeId(name) for name in NAMES)
         clock = Clock(wall=lambda: self.now)
-        facts = observe(
+        facts = collect_facts(
             watch_cache,
             committed,
             configured=configured,
@@ -268,9 +268,11 @@
         )
         for job in unconverted[:1]:
             self._write(process, job, late)
-        outcome = steps.next_step(current, facts, directives)
-        if isinstance(outcome, steps.Step):
-            self._commit_perhaps_late(StepCommits(watch_cache, committed, TXN_OPS).commit(leader[1], outcome), late)
+        outcome = state_machine.next_step(current, facts, directives)
+        if isinstance(outcome, state_machine.Step):
+            self._commit_perhaps_late(
+                StepTransactionBuilder(watch_cache, committed, TXN_OPS).build_step(leader[1], outcome), late
+            )
 
     def _unconverted_jobs(self, watch_cache: WatchCache, current: RolloutRecord, since: ModRevision) -> list[str]:
         compact = watch_cache.compact_jobs
@@ -295,9 +297,9 @@
         conditions = [Compare(keys.job(job), view.mod_revision)]
         if process.program == ABLE:
             value = to_stored(view.record, MAX_PLAIN_BYTES, compact_allowed=process.committed.compact_allowed())
-            conditions += process.committed.conditions(layout_kind_of(value))
+            conditions += process.committed.write_conditions(layout_kind_of(value))
         else:
-            compact_allowed = process.program == UNAWARE and process.committed.announced() >= 1
+            compact_allowed = process.program == UNAWARE and process.committed.announced_version() >= 1
             value = to_stored(view.record, MAX_PLAIN_BYTES, compact_allowed=compact_allowed)
         self._commit_perhaps_late(Transaction(conditions, [Put(keys.job(job), value)]), late)
 
