--- a/src/cloverplank/settings/zones.py
+++ b/src/cloverplank/settings/zones.py
@@ -51,7 +51,7 @@
         return [
             "# zones: order of work while a zone is lost, and pace of its recovery (docs/zones.md)",
             "# longest_hold_s: maximum hold of bulk work; quiet_s: time before a zone recovers, doubled by each flap;",
-            "# step_s: time between 10, 25, 50 and 100 percent of its machines; starts_a_second, pulls_at_once: in it;",
+            "# step_s: time per step (10, 25, 50, 100 percent of machines); starts_a_second, pulls_at_once: in a zone;",
             "# first, last: a class served like services, or like bulk work; may be repeated",
             *opening_text(BLOCK, self, NUMBERS),
             *(f'  first: "{name}"' for name in sorted(self.first)),
