--- a/src/cloverplank/api/users.py
+++ b/src/cloverplank/api/users.py
@@ -1,4 +1,4 @@
-"""The users' requests: submit, get, cancel."""
+"""Users' requests about jobs: submit, get and cancel."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from cloverplank.api.blocked_jobs import BlockedJobResponses
 from cloverplank.api.job_access import JobAccess
-from cloverplank.api.responses import busy, job_response
+from cloverplank.api.responses import job_response, service_unavailable
 from cloverplank.api.submission import Submissions
 from cloverplank.basic_types import JobId
 from cloverplank.jobs import records
@@ -19,7 +19,7 @@
 from cloverplank.jobs.store import ChangeOutcome, PendingChange
 from cloverplank.kvstore.errors import StoreError
 from cloverplank.kvstore.transaction_priority import TransactionPriority
-from cloverplank.net.messages import Request, Response, make_response, method_not_allowed, no_such_path
+from cloverplank.net.messages import Request, Response, make_response, method_not_allowed, not_found
 from cloverplank.wire.users import JOBS_PATH, ErrorResponse, JobResponse, valid_job_id
 
 log = logging.getLogger(__name__)
@@ -29,14 +29,14 @@
 
 
 class _Route(NamedTuple):
-    """The only method of a path, and what handles it."""
+    """The only method that a path allows, and its handler."""
 
     method: str
     handle: Callable[[], Awaitable[Response]]
 
 
-class Users:
-    """Answers users' requests; `cancelled` is called after a cancellation was committed here."""
+class JobRequestHandler:
+    """Handles users' requests; `cancelled` is called after this controller has committed a cancellation."""
 
     def __init__(
         self,
@@ -58,14 +58,14 @@
         """Return the response to a request under JOBS_PATH."""
         route = self._route(request)
         if route is None:
-            return no_such_path()
+            return not_found()
         if request.method != route.method:
             return method_not_allowed(route.method)
         try:
             return await route.handle()
         except (StoreError, TimeoutError) as err:
-            log.debug("%s %s: not now: %s", request.method, request.path, err)
-            return busy()
+            log.debug("%s %s: responding with 503: %s", request.method, request.path, err)
+            return service_unavailable()
 
     def _route(self, request: Request) -> _Route | None:
         match request.path[len(JOBS_PATH) :].strip("/").split("/"):
@@ -94,7 +94,7 @@
             return _no_such_job()
         job_id = JobId(name)
         if self._client.is_down() and self._watch_cache.final(job_id) is None:
-            return busy()
+            return service_unavailable()
         async with asyncio.timeout(CANCEL_TIMEOUT_S):
             while True:
                 job = await self._reader.read(job_id)
--- a/src/cloverplank/controller/routing.py
+++ b/src/cloverplank/controller/routing.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from cloverplank.api.users import Users
+from cloverplank.api.users import JobRequestHandler
 from cloverplank.controller.machine_types import MachineTypeCatalog
 from cloverplank.kvstore.client import StoreClient
 from cloverplank.kvstore.controller_lease import ControllerLease
 from cloverplank.kvstore.watch_cache import WatchCache
 from cloverplank.load_meter import LoadMeter, Part
 from cloverplank.membership.gossip import PeerGossip
-from cloverplank.net.messages import Request, Response, make_response, method_not_allowed, no_such_path
+from cloverplank.net.messages import Request, Response, make_response, method_not_allowed, not_found
 from cloverplank.shard.heartbeat_handler import HeartbeatHandler
 from cloverplank.wire.users import JOBS_PATH, ErrorResponse
 from cloverplank.wire.workers import HEARTBEAT_PATH
@@ -30,7 +30,7 @@
         watch_cache: WatchCache,
         machine_types: MachineTypeCatalog,
         heartbeat_handler: HeartbeatHandler,
-        users: Users,
+        users: JobRequestHandler,
         gossip: PeerGossip,
     ) -> None:
         self._meter = meter
@@ -53,7 +53,7 @@
             return await self._meter.metered(Part.USERS, self._users.handle(request))
         if path == READY_PATH:
             return self._readiness(request)
-        return no_such_path()
+        return not_found()
 
     async def handle_peer(self, request: Request) -> Response:
         """Handle a request of another controller."""
