--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -1,4 +1,4 @@
-"""Breaks each rule on purpose: a check that cannot fail checks nothing."""
+"""Breaks each rule on purpose and asserts that its check reports the violation."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def broken(fault: Scenario | None = None, zones: int = 1, seed: int = 5, jobs: int = 12, **more: Any) -> set[str]:
-    """Play a day and return the rules that were broken."""
+    """Simulate a day and return the names of the rules that were broken."""
 
     async def play() -> set[str]:
         world = World(seed=seed, zones=zones, **more)
@@ -42,7 +42,7 @@
 
 
 async def machines_partitioned(world: World) -> None:
-    """Partition machines with tasks from everybody, for a while, again and again."""
+    """Partition up to three machines with tasks from all hosts, five times, for 6 s each."""
     for _ in range(5):
         await asyncio.sleep(6)
         for machine in [m for m in world.machines.values() if m.tasks][:3]:
@@ -93,7 +93,7 @@
 
 
 async def stop_all_tasks(world: World) -> None:
-    """Stop every running task without a command of a controller."""
+    """Stop every running task without a command from a controller."""
     for _ in range(20):
         await asyncio.sleep(2)
         for machine in world.machines.values():
@@ -142,7 +142,7 @@
 
 
 def test_job_that_no_controller_answers_for_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A question never gets an answer once all faults are over."""
+    """The linearizable reads of all controllers still fail after all faults are over."""
 
     async def never(self, job):
         raise StoreUnavailableError("stuck")
@@ -158,13 +158,13 @@
 
 
 def test_accepted_job_that_never_runs_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A job is answered for and never placed."""
+    """Controllers accept a job and never place its tasks."""
     monkeypatch.setattr(shard_owner.Shard, "place", lambda self, queued_jobs, headroom: None)
     assert "forgotten" in broken(jobs=4)
 
 
 def test_starved_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Some tasks of a job run, and the others wait beside machines with capacity."""
+    """Some tasks of a job run, and others wait although machines have free capacity."""
     real = placement.PlacementCycle._place_job
 
     def only_once(self, view, queued_job, *more):
@@ -188,7 +188,7 @@
 
 
 def test_start_after_a_confirmed_cancellation_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A shard owner that the store refuses goes on starting what it placed before."""
+    """A shard owner whose requests the store refuses continues to start the tasks that it placed before."""
     real = controller_lease.ControllerLease.refresh_state
 
     def active_instead_of_grace(self) -> controller_lease.LeaseState:
@@ -232,7 +232,7 @@
 
 
 async def machines_receive_nothing_from_then_on(world: World) -> None:
-    """Let no machine receive anything any more; the cloud is down at first."""
+    """Partition the inbound side of every live machine from 14 s on; the cloud is down for the first 20 s of this."""
     await asyncio.sleep(14)
     world.cloud.down = True
     world.faults.receives_nothing.update(m.id for m in world.machines.values() if m.alive)
@@ -241,7 +241,7 @@
 
 
 def test_work_left_on_a_machine_that_receives_nothing_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A controller that takes a heartbeat alone for health leaves the work there."""
+    """A controller that takes heartbeats alone as evidence of health leaves tasks on unreachable machines."""
     assert not broken(machines_receive_nothing_from_then_on)
     real = machines.Machine.apply
 
@@ -259,7 +259,7 @@
 async def cancelled_while_shard_owner_is_isolated(world: World) -> None:
     """Cancel long jobs while their shard owner has contact with its workers only.
 
-    Whether the users of a day cancel one at that moment is chance.
+    The random cancellations of a simulated day may miss that interval.
     """
     lengthen_tasks(world, 1)
     world.spawn(shard_owner_alone_reaches_workers(world))
@@ -269,7 +269,7 @@
 
 
 def test_shard_owner_that_never_stops_without_contact_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The lease of a controller never expires in its own eyes."""
+    """A controller never considers its own lease expired."""
     assert not broken(cancelled_while_shard_owner_is_isolated)
     monkeypatch.setattr(
         controller_lease.ControllerLease, "refresh_state", lambda self: controller_lease.LeaseState.ACTIVE
@@ -278,7 +278,7 @@
 
 
 async def submit_pair(world: World, upstream_s: float) -> list[dict]:
-    """Submit a job that runs for so many seconds, and one that needs it."""
+    """Submit a job that runs for `upstream_s` seconds, and a job that depends on it."""
     await asyncio.sleep(3.0)
     first = world.job(1)
     world.durations[first["id"]] = upstream_s
@@ -288,7 +288,7 @@
 
 
 def test_too_early_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The leader releases a job whose upstream job is not done."""
+    """The leader releases a blocked job before its upstream job is done."""
     monkeypatch.setattr(dependency_reconciler, "decide", lambda states: Verdict.RELEASE)
 
     async def play() -> set[str]:
@@ -301,7 +301,7 @@
 
 
 def test_orphaned_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Neither the leader nor the controller that is asked looks at upstream jobs."""
+    """Neither the leader nor the controller that answers checks the upstream jobs for cancellation."""
     monkeypatch.setattr(dependency_reconciler, "decide", lambda states: Verdict.WAIT)
     monkeypatch.setattr(dependencies, "has_cancelled_upstream", lambda *_: False)
 
--- a/tests/simulation/test_dependency_cancellation.py
+++ b/tests/simulation/test_dependency_cancellation.py
@@ -1,4 +1,4 @@
-"""Cancellation and release of jobs that wait for others."""
+"""Cancellation and release of jobs that depend on other jobs."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
 
 
 async def test_no_answer_is_stale_while_the_leader_cannot_cancel_dependents() -> None:
-    """Whoever is asked sees from committed records that an upstream job is cancelled.
+    """Any controller that is asked derives the cancellation of an upstream job from committed records.
 
-    It commits the cancellation of the dependent before it tells it, and says nothing where it cannot.
+    It commits the cancellation of the dependent job before it reports it, and gives no answer if it cannot commit.
     """
     world = World(seed=10)
     await ready(world)
@@ -65,7 +65,7 @@
 
 
 async def test_controller_with_a_stale_watch_refuses_to_answer_for_blocked_jobs() -> None:
-    """Its comparisons are answered, its watch is not: an upstream job may have been cancelled long ago."""
+    """The store answers transactions but not the watch: the controller may have missed an upstream cancellation."""
     world = World(seed=13)
     await ready(world)
     specs = chain(world, 1, {}, {})
@@ -87,7 +87,7 @@
 
 
 async def test_blocked_job_is_released_by_the_final_record_of_a_forgotten_upstream_job() -> None:
-    """No process has the upstream job in memory; the wait was committed a moment after the check."""
+    """No process has the upstream job in memory: the blocked job was committed just after the upstream check."""
     world = World(seed=11)
     await ready(world)
     first = world.job(1, pieces=1, vcpus=1.0)
--- a/tests/simulation/test_dependency_faults.py
+++ b/tests/simulation/test_dependency_faults.py
@@ -1,4 +1,4 @@
-"""Faults while jobs wait for others: every job ends as its upstream jobs say, and no commit breaks a limit."""
+"""Faults while jobs are blocked: each job ends as its upstream jobs determine, and no commit exceeds a limit."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def leader_crashes_at_each_completion(world: World) -> None:
-    """Crash the leader when a job has ended, before what needs it is released."""
+    """Crash the leader when a job has ended, before its dependent jobs are released."""
     ended: set[str] = set()
     for _ in range(600):
         now = {job for job in world.rules.accepted if world.all_done(job)}
@@ -24,7 +24,7 @@
 
 
 async def cancelled_at_completion(world: World) -> None:
-    """Cancel jobs as their last tasks end; has no effect, since no stand-in reads the fraction yet."""
+    """Set the fraction of jobs cancelled at completion; no effect, since no stand-in reads the fraction yet."""
     world.faults.cancel_at_completion_fraction = 0.5
     await asyncio.sleep(60)
 
@@ -42,7 +42,7 @@
 
 
 async def store_refuses_leader(world: World) -> None:
-    """Have the store refuse the leader alone while jobs are cancelled."""
+    """Have the store refuse requests of the leader only, while jobs are cancelled."""
     await asyncio.sleep(12)
     world.state.refused_clients = {leader(world)}
     for job in world.running_jobs()[:3]:
@@ -60,7 +60,7 @@
 
 
 async def late_commits(world: World) -> None:
-    """Have commits get no answer and be carried out late, while jobs are cancelled."""
+    """Delay commits and drop their responses, while jobs are cancelled."""
     world.faults.late_commit_fraction = 0.15
     for job in world.running_jobs()[:2]:
         world.spawn(world.cancel_job(job))
@@ -79,7 +79,7 @@
 
 
 async def run_job_graphs(world: World, fault=None) -> None:
-    """Run diamonds and chains of jobs beside others during a fault, and check how each job ends."""
+    """Run diamonds and chains of jobs concurrently with other jobs during a fault, and check how each job ends."""
     await ready(world)
     pipelines = [diamond(world, 100), diamond(world, 110), chain(world, 120, {}, {}, {"crew": "blue"}, {})]
     pipelines.append(chain(world, 130, {"pieces": 3}, {"pieces": 3}))
--- a/tests/simulation/test_dependency_submission.py
+++ b/tests/simulation/test_dependency_submission.py
@@ -1,4 +1,4 @@
-"""Submission of jobs that name upstream jobs: what is accepted, refused, and run in which order."""
+"""Submission of jobs that name upstream jobs: acceptance, refusal and the order of execution."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def submission_status(world: World, spec: dict, label: str) -> int:
-    """Submit a job to one controller until it can decide; return the status of its answer."""
+    """Submit a job to one controller, up to 40 times while it responds 503; return the last status."""
     for _ in range(40):
         status, _ = await world.ask("POST", "/api/jobs", spec, label)
         if status != 503:
@@ -35,7 +35,7 @@
 
 
 async def test_submission_names_only_accepted_jobs_that_end() -> None:
-    """Upstream jobs of another team, done, or blocked are accepted; unknown ones, services and the job itself are not."""
+    """Upstream jobs may be done, blocked or of another team, but not unknown, a service, or the job itself."""
     world = World(seed=4)
     await ready(world)
     done = world.job(1, pieces=1, vcpus=1.0)
@@ -68,13 +68,13 @@
     assert (await world.ask("POST", "/api/jobs", world.job(1, waits_on=needs)))[0] == 400
     good = world.job(2, pieces=1)
     await submit_in_turn(world, [good])
-    # Known by now: the first submission stands, whatever the repeated one says.
+    # The job is already accepted: the first submission stands, whatever a repeated submission contains.
     assert (await world.ask("POST", "/api/jobs", good | {"waits_on": needs}))[0] == 200
     assert (await world.ask("POST", "/api/jobs", good | {"waits_on": ["run-999999"]}))[0] == 200
 
 
 async def test_too_many_upstream_jobs_are_refused_after_done_ones_are_dropped() -> None:
-    """The record must fit the lower limit of the store; duplicates and jobs that are done do not count."""
+    """The record must fit the announced lower limit of the store; duplicates and completed jobs do not count."""
     world = World(seed=6, coming_limits=True)
     await ready(world)
     first = world.job(1, pieces=1)
@@ -89,7 +89,7 @@
         spec = {field: value for field, value in world.job(number).items() if field != "waits_on"}
         world.state.items[f"cp/wait/{name}"] = ({"spec": spec, "at": 1, "needs": [first["id"]]}, 1, None)
     assert not await world.submit(world.job(3, pieces=1, waits_on=blocked))
-    for label in world.labels:  # each reads the names for itself, and says 503 until it has
+    for label in world.labels:  # each controller reads the upstream jobs itself and responds 503 until then
         assert await submission_status(world, world.jobs["run-000003"], label) == 400
     assert not world.state.refused_commits
 
--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -1,4 +1,4 @@
-"""Single faults in the simulated world: the rules hold, and work goes on."""
+"""Single faults in the simulated world: the rules hold and work continues."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def running_tasks(world: World) -> int:
-    """Count the tasks that run."""
+    """Count the running tasks; a task that runs on two machines counts twice."""
     return sum(len(machines) for machines in world.rules.running_on.values())
 
 
@@ -38,7 +38,7 @@
 
 
 async def test_spot_job_runs_on_demand_without_spot_capacity() -> None:
-    """Without an objective nothing ever called for an on-demand machine: the job would have waited for ever."""
+    """Guards against a job that waits indefinitely: without an objective, nothing requests an on-demand machine."""
     world = World(seed=1)
     world.cloud.left[world.zones[0], True] = 0
     spec = world.job(1, pieces=3, rank="idle")
@@ -61,7 +61,7 @@
 
 
 def large_service(world: World, number: int) -> dict:
-    """Make up a service whose replicas take half of a small machine each."""
+    """Create a service whose replicas each take half of a small machine."""
     return world.job(
         number,
         shape="service",
@@ -75,9 +75,9 @@
 
 
 async def test_failover_of_a_shard_with_hundreds_of_machines() -> None:
-    """The owner crashes and is back at once, and machines hang for longer than a lease meanwhile.
+    """The shard owner crashes and restarts at once, while machines hang for longer than a worker lease.
 
-    Nothing runs twice, and all that was asked for runs afterwards.
+    No task runs twice, and afterwards every replica of every service runs.
     """
     world = World(seed=20, capacity=400, scale=60.0)
     specs = [large_service(world, number) for number in range(SERVICES)]
@@ -94,7 +94,7 @@
 
 
 def attempts_by_job(world: World) -> Counter[str]:
-    """Count the attempts that were placed, by job, from the log of the key-value store."""
+    """Return the highest number of placed attempts of each job, from the log of the key-value store."""
     attempts: Counter[str] = Counter()
     for event in world.state.log:
         value = event.get("value")
@@ -105,10 +105,10 @@
 
 
 async def test_overdue_job_is_not_preempted_by_the_job_that_it_passed() -> None:
-    """Seen on a recorded day: a job was preempted dozens of times.
+    """Guards against a job that is preempted again and again, dozens of times on a recorded day.
 
-    With no task running it was overdue and went before all others; once it ran it was beyond its team's guaranteed
-    quota and was preempted for the next in order, whose room it then took back.
+    Without a running task, the job is overdue and takes precedence over all others. Once it runs, it exceeds its team's
+    guaranteed quota and is preempted for the next job in the order, whose capacity it then takes back.
     """
     world = World(seed=1, capacity=1)
     world.limits = {"red": 200.0, "blue": 8.0}
--- a/tests/simulation/test_many_machines.py
+++ b/tests/simulation/test_many_machines.py
@@ -1,4 +1,4 @@
-"""Thousands of machines: no limit is below them, and work is counted, not timed."""
+"""Limits and costs with thousands of machines. Costs are counted in operations, not measured in time."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def machine_name(number: int) -> str:
-    """Return the name of a machine."""
+    """Return the machine name that has this number."""
     return f"m-{number:06d}"
 
 
@@ -41,7 +41,7 @@
 
 
 def test_largest_gossip_message_fits_a_body() -> None:
-    """Names, addresses, zones and images are at their longest."""
+    """A gossip message with names, addresses, zones and images of maximum length fits a request body."""
     images = [f"image-of-a-long-name-{n:04d}" for n in range(12)]
     machine = MachineGossip(
         machine_name(999_999),
@@ -68,7 +68,7 @@
 
 
 class PagedCloud:
-    """Serves a long list in pages, and notes when each was asked for."""
+    """A cloud that serves a list of machines in pages, and records the time in seconds of each page request."""
 
     def __init__(self) -> None:
         self.names = [machine_name(n) for n in range(MACHINES)]
@@ -91,7 +91,10 @@
 
 
 def test_listing_thousands_of_machines_leaves_calls_for_releases() -> None:
-    """The pages took all calls of four seconds, while lost machines waited for their release."""
+    """Guards against list pages that use up the rate limit of the cloud.
+
+    Without their own lower rate, the pages take all calls of four seconds, and the termination of lost machines waits.
+    """
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
@@ -128,7 +131,7 @@
     zones: int,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Full machines are not examined again for each of the jobs of several sizes."""
+    """Full machines are not examined again for every job when the jobs differ in size."""
     examined = 0
     real = CapacityIndex._in_order
 
@@ -162,11 +165,12 @@
         )
         allocated += sum(allocation.values())
     assert allocated == 800 * 100
-    assert examined <= 15 * MACHINES  # 178 times as many before full machines were left out
+    # Without the exclusion of full machines, 178 times as many are examined.
+    assert examined <= 15 * MACHINES
 
 
 def test_eviction_counts_one_change_per_lost_machine(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each eviction concerns the jobs of one machine; the others of a shard are not examined for it."""
+    """An eviction examines the jobs on the lost machine only, not the other jobs of the shard."""
     store = JobStore()
     tasks_per_job = 40
     for number in range(MACHINES // tasks_per_job):
--- a/tests/simulation/test_overlapping_faults.py
+++ b/tests/simulation/test_overlapping_faults.py
@@ -1,4 +1,4 @@
-"""Overlapping faults in the simulated world: the rules hold in every combination that operators have seen break one."""
+"""Overlapping faults in the simulated world: the rules hold in each combination that broke a rule in operation."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def name_of(scenario: Scenario) -> str:
-    """Return the id of a parametrized case."""
+    """Return the test id of a scenario."""
     return scenario.__name__
 
 
--- a/tests/simulation/test_start_faults.py
+++ b/tests/simulation/test_start_faults.py
@@ -1,4 +1,4 @@
-"""Controllers that read the key-value store while the first shards are assigned: the rules hold, and work goes on."""
+"""Controllers that load the key-value store during the first shard assignments: rules hold and work continues."""
 
 from __future__ import annotations
 
@@ -17,12 +17,13 @@
 from tests.simulation.world import World
 
 ZONE = "zone-0"
-SMALL_CPU = SMALL_CPU_CORES / 2  # leader and shard owner are two controllers
-SHARDS_READ = f"/keys?under={keys.SHARDS}"  # the first read of a load
+# With so few cores, the leader and the shard owner are different controllers.
+SMALL_CPU = SMALL_CPU_CORES / 2
+SHARDS_READ = f"/keys?under={keys.SHARDS}"  # the first read when a controller loads the key-value store
 
 
 class SlowStartWorld(World):
-    """A world in which one controller reads the shards at once, and all other keys once a shard is assigned."""
+    """A world in which the controller `slow` reads shards at once, and other keys only after a shard is assigned."""
 
     slow = "c-0"
 
@@ -39,7 +40,7 @@
     return world.job(1, shape="service", lane="web", rank="prod", loaners=False, pieces=6)
 
 
-# Half of the services never ran: the owner of a shard did not know that it had been assigned one.
+# Guards against a shard owner that misses an assignment made while it loads: half of the services then never run.
 @pytest.mark.parametrize("seed", range(4))
 def test_controller_that_loads_during_the_first_assignments_serves_its_shard(seed: int) -> None:
     async def main() -> None:
@@ -55,10 +56,11 @@
 
 @dataclass(frozen=True, kw_only=True)
 class StoreLoss:
-    """How the shard owner loses the key-value store.
+    """How the shard owner loses contact with the key-value store.
 
-    `refused`: its requests are refused, where else its messages are held or lost. `seconds`: for how long.
-    `successor_crashes`: whether the next owner crashes meanwhile and is back at once.
+    `refused`: whether its requests are refused; otherwise its messages are held or lost. `seconds`: the duration.
+    `suspicion`: whether failure detection is enabled. `successor_crashes`: whether the next owner crashes during the
+    loss and restarts at once.
     """
 
     refused: bool = False
@@ -68,7 +70,7 @@
 
 
 async def owner_loses_the_store(world: World, loss: StoreLoss) -> None:
-    """Have the shard owner lose the key-value store alone; the slow starter owns the shard next."""
+    """Cut only the shard owner off from the key-value store; the slow starter is the next owner of the shard."""
     owner = shard_owner(world)
     for label in world.labels:
         if label not in (owner, world.slow):
@@ -90,27 +92,28 @@
 
 
 def play_store_loss(seed: int, loss: StoreLoss) -> World:
-    """Play a service whose shard goes to the slow starter; return the world with the rules it broke."""
+    """Run a service whose shard moves to the slow starter; return the world, which holds the rule violations."""
 
     async def main() -> World:
         operator = DETECTOR_ENABLED if loss.suspicion else None
         world = SlowStartWorld(seed, cpu=SMALL_CPU, controllers=3, operator=operator)
         await world.submit(service(world))
         await asyncio.sleep(40.0)
-        assert world.slow not in (leader(world), shard_owner(world)), "the seed has it take a role at the start"
+        assert world.slow not in (leader(world), shard_owner(world)), f"seed {seed}: {world.slow} already has a role"
         await owner_loses_the_store(world, loss)
         return world
 
     return run(main())
 
 
-# Tasks ran twice on Seoul's day "apart": the new owner knew neither the former one nor the workers that this one kept.
+# Guards against tasks that run twice: the new owner, loaded during the first assignments, knows neither the former
+# owner nor the workers that still have a lease from it. Seen on Seoul's day "apart".
 @pytest.mark.parametrize("seed", range(6))
 def test_no_task_runs_twice_if_the_next_owner_loaded_during_the_first_assignments(seed: int) -> None:
     check(play_store_loss(seed, StoreLoss()))
 
 
-# The same fault, in other ways for the former owner to lose the store and for the next one to take over.
+# The same fault, with other ways in which the former owner loses the store and the next one takes over.
 @pytest.mark.parametrize("seed", range(2))
 @pytest.mark.parametrize(
     "loss",
--- a/tests/simulation/test_upgrade_faults.py
+++ b/tests/simulation/test_upgrade_faults.py
@@ -1,4 +1,4 @@
-"""Rolling upgrades from production's version in the simulated world, with faults between."""
+"""Rolling upgrades from production's version in the simulated world, with faults during the upgrade."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def upgrade_in_turn(world: World, every_s: float) -> None:
-    """Restart each controller as this version, one after the other."""
+    """Upgrade the controllers one after another, with a restart of the next one every `every_s` seconds."""
     for label in list(world.labels):
         world.spawn(world.restart(label, 1.5, upgrade=True))
         await asyncio.sleep(every_s)
@@ -26,7 +26,7 @@
 
 
 async def rolling_upgrade_with_crash_and_outage(world: World) -> None:
-    """Restart one as the old version before its turn, and take the store down while the last is upgraded."""
+    """Restart a controller that is not upgraded yet, and take the store down while the last one is upgraded."""
     await asyncio.sleep(10)
     world.spawn(world.restart("c-0", 1.0, upgrade=True))
     await asyncio.sleep(5)
@@ -59,7 +59,7 @@
 )
 @pytest.mark.parametrize("seed", [31, 32])
 async def test_versions_serve_side_by_side(fault, seed: int) -> None:
-    """All begin as production's version; job graphs are submitted once the last is upgraded."""
+    """All controllers start as production's version; job graphs are submitted after the last upgrade."""
     world = World(seed=seed, coming_limits=True, old=("c-0", "c-1", "c-2"))
 
     async def upgrade(world: World) -> None:
