--- a/tests/simulation/overlapping_faults.py
+++ b/tests/simulation/overlapping_faults.py
@@ -1,4 +1,4 @@
-"""Scenarios of overlapping faults: each is a combination in which operators have seen a rule broken."""
+"""Scenarios of overlapping faults: each is a combination that broke a rule in operation."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def all_controllers_down_longer_than_a_lease(world: World) -> None:
-    """Crash all controllers for longer than a worker's lease, just after cancellations."""
+    """Crash all controllers for longer than a worker lease, 0.3 s after cancellations."""
     lengthen_tasks(world)
     await asyncio.sleep(20)
     cancel_running_jobs(world, 2)
@@ -30,7 +30,7 @@
 
 
 async def controller_reaches_only_workers_and_users(world: World) -> None:
-    """Partition a controller from the store and its peers; jobs are cancelled through the new one."""
+    """Partition a controller from the store and its peers; jobs are cancelled through the other controllers."""
     lengthen_tasks(world)
     await asyncio.sleep(18)
     isolated = target_controller(world)
@@ -44,7 +44,7 @@
 
 
 async def task_exits_span_failovers(world: World) -> None:
-    """Crash a controller four times while the tasks of small jobs end, some before and some after."""
+    """Crash a controller four times so that the tasks of small jobs end before and after a failover."""
     for job, spec in world.jobs.items():
         if spec["shape"] == "batch":
             spec["pieces"] = 2 + len(job) % 2
@@ -56,7 +56,7 @@
 
 
 async def late_heartbeats_of_former_incarnations(world: World) -> None:
-    """Repeat heartbeats late while machines hang beyond their leases and the shard owner crashes."""
+    """Deliver late copies of heartbeats while machines hang for up to 11 s and the shard owner crashes."""
     world.faults.late_heartbeat_copy_fraction = 0.6
     for length in (11.0, 6.0, 11.0):
         await asyncio.sleep(10)
@@ -68,7 +68,7 @@
 
 
 async def commits_applied_late(world: World) -> None:
-    """Have commits get no answer and be carried out after newer ones, while the leader crashes and machines fail."""
+    """Drop the responses of commits and apply them after newer ones, while the target crashes and machines fail."""
     await asyncio.sleep(8)
     world.faults.late_commit_fraction = 0.3
     for number in range(4):
@@ -95,7 +95,7 @@
 
 
 async def machines_unreachable_during_failover(world: World) -> None:
-    """Crash a controller while some machines are partitioned and others receive nothing."""
+    """Crash a controller while some machines are partitioned and others have an inbound partition."""
     lengthen_tasks(world)
     await asyncio.sleep(20)
     found = busy_machines(world)
@@ -109,7 +109,7 @@
 
 
 async def cancelled_as_last_task_ends(world: World) -> None:
-    """Cancel, query and resubmit a job at the moment at which its last task ends."""
+    """Cancel, query and resubmit each batch job within 0.4 s after its last task ends."""
 
     async def cancel_at_end(job: str) -> None:
         spec = world.jobs[job]
@@ -130,9 +130,9 @@
 
 
 async def leader_refused_then_store_outage(world: World) -> None:
-    """Cancel jobs as the store refuses one controller alone; a second later it is down for all.
+    """Cancel jobs while the store refuses one controller; 0.3 to 1.5 s later it is down for all controllers.
 
-    The outage is longer than `cancel_s`. All this happens twice, with a short contact between.
+    The outage is longer than `cancel_s`. The sequence happens twice, with 6 s of contact in between.
     """
     lengthen_tasks(world, 1)
     for pause in (20.0, 6.0):
@@ -148,14 +148,14 @@
 
 
 async def backlog_over_slow_links(world: World) -> None:
-    """Submit more work than there is capacity, over slow links."""
+    """Delay every message by up to 0.4 s while the submitted jobs exceed the capacity."""
     world.faults.max_link_delay_s = 0.4
     await asyncio.sleep(60)
     world.faults.max_link_delay_s = 0.0
 
 
 async def machines_send_nothing(world: World) -> None:
-    """Keep machines from reaching any controller, while direct commands reach them."""
+    """Partition the outbound side of two machines; direct commands still reach them."""
     lengthen_tasks(world)
     await asyncio.sleep(18)
     world.faults.sends_nothing.update(m.id for m in busy_machines(world)[:2])
@@ -164,7 +164,7 @@
 
 
 async def store_slow_then_refusing_then_down(world: World) -> None:
-    """Slow the store down, then have it refuse one controller, then take it down for all."""
+    """Delay the store's requests, then let it refuse one controller, then take it down for all controllers."""
     lengthen_tasks(world, 1)
     await asyncio.sleep(14)
     world.faults.max_store_delay_s = 1.5
@@ -183,7 +183,7 @@
 
 
 async def delayed_commands(world: World) -> None:
-    """Delay commands or their answers for seconds, while machines hang and jobs are cancelled."""
+    """Delay commands by 1 to 8 s or lose their responses, while machines hang and jobs are cancelled."""
     await asyncio.sleep(6)
     world.faults.delayed_command_fraction = 0.3
     for length in (4.0, 7.0, 7.5):
@@ -195,7 +195,7 @@
 
 
 async def delayed_heartbeats(world: World) -> None:
-    """Delay heartbeats until there is a new leader; they arrive there, or anywhere."""
+    """Delay heartbeats until there is a new leader; they arrive at any controller."""
     await asyncio.sleep(10)
     world.faults.delayed_heartbeat_fraction = 0.25
     for _ in range(3):
@@ -206,7 +206,7 @@
 
 
 async def ten_failovers_in_two_minutes(world: World) -> None:
-    """Crash the leader ten times, twice during an outage of the key-value store."""
+    """Crash the target controller ten times, twice during an outage of the key-value store."""
     await asyncio.sleep(8)
     for number in range(10):
         if number in (3, 7):
@@ -217,7 +217,7 @@
 
 
 async def zone_bound_jobs_lose_machines(world: World) -> None:
-    """Fail machines again and again while every job is bound to one zone."""
+    """Fail up to three machines at a time, four times, while every job is bound to one zone."""
     for number, (job, spec) in enumerate(world.jobs.items()):
         spec["yard"] = world.zones[number % len(world.zones)]
         spec["apart"] = False
@@ -229,7 +229,7 @@
 
 
 async def repeated_failovers_after_full_restart(world: World) -> None:
-    """Crash all, restart them at different times, then pass leadership to and fro."""
+    """Crash all controllers twice and restart them at different times, then crash the target four times."""
     await asyncio.sleep(16)
     for after in ((0.5, 8.0, 9.0), (6.0, 0.3, 7.0)):
         for label, pause in zip(world.labels, after, strict=True):
@@ -241,7 +241,7 @@
 
 
 async def zone_partitioned(world: World) -> None:
-    """Partition a zone with its workers and controller for longer than a lease; cancel jobs outside."""
+    """Partition a zone with its workers and controllers for longer than a worker lease; cancel jobs outside."""
     lengthen_tasks(world)
     await asyncio.sleep(20)
     world.cut_zone(world.zones[-1])
@@ -253,7 +253,7 @@
 
 
 async def burst_of_cancellations_with_hung_machines(world: World) -> None:
-    """Cancel many jobs at once while machines hang."""
+    """Cancel up to six jobs at once while up to four machines hang."""
     lengthen_tasks(world, 1)
     for length in (7.0, 11.0):
         await asyncio.sleep(16)
@@ -262,7 +262,7 @@
 
 
 def _invalid_job(world: World, number: int) -> tuple[dict, int]:
-    """Make up a job that lacks a field or fits nowhere; return it with the status that it must get."""
+    """Create a job that lacks a field or fits no machine, zone or quota; return it with the expected status."""
     spec = world.job(number)
     if number % 2:
         del spec[world.random.choice(["crew", "pieces", "vcpus", "rank", "apart", "marker_s"])]
@@ -281,7 +281,7 @@
 
 
 async def _submission_status(world: World, spec: dict) -> int:
-    """Submit a job until a controller decides; return the last status."""
+    """Submit a job, up to 20 times until a controller accepts or refuses it; return the last status."""
     status = 0
     for _ in range(20):
         status, _ = await world.ask("POST", "/api/jobs", spec)
@@ -292,7 +292,7 @@
 
 
 async def invalid_and_repeated_requests(world: World) -> None:
-    """Repeat submissions, cancel what is done, submit jobs that fit nowhere or lack a field."""
+    """Repeat submissions, cancel completed jobs, and submit jobs that fit nowhere or lack a field."""
     for number in range(501, 531):
         await asyncio.sleep(1.5)
         for job in world.random.sample(sorted(world.rules.accepted), min(3, len(world.rules.accepted))):
@@ -301,8 +301,8 @@
                 world.spawn(world.cancel_job(job))
         spec, expected = _invalid_job(world, number)
         status = await _submission_status(world, spec)
-        if status not in (0, 503, expected):  # nobody need be there to answer
-            world.rules.record_violation("accepted_what_cannot_run", f"{spec}: {status}")
+        if status not in (0, 503, expected):  # 0 and 503: no controller was available to decide
+            world.rules.record_violation("accepted_what_cannot_run", f"{spec}: status {status}, expected {expected}")
         del world.jobs[spec["id"]]
 
 
@@ -329,7 +329,7 @@
     invalid_and_repeated_requests,
 ]
 
-# Scenarios of which one controller is the target.
+# Scenarios that target one controller, either the leader or a shard owner.
 FAULTS_OF_ONE_CONTROLLER: list[Scenario] = [
     controller_reaches_only_workers_and_users,
     task_exits_span_failovers,
@@ -345,10 +345,10 @@
 
 
 def play_overlapping_faults(scenario: Scenario, seed: int, zones: int, *, strikes_shard_owner: bool = False) -> World:
-    """Play a day with a scenario, which hits the leader or, with `strikes_shard_owner`, a shard owner."""
+    """Simulate a day with a scenario that targets the leader or, with `strikes_shard_owner`, a shard owner."""
 
     async def work() -> World:
-        # On small machines leader and shard owner are two controllers.
+        # With few cores, the leader and the shard owner are different controllers.
         world = World(seed=seed, zones=zones, cpu=SMALL_CPU_CORES / 2 if strikes_shard_owner else 1.0)
         world.strikes_shard_owner = strikes_shard_owner
         seconds = 140 if scenario is ten_failovers_in_two_minutes else 110
--- a/tests/simulation/rollout_model.py
+++ b/tests/simulation/rollout_model.py
@@ -1,7 +1,7 @@
-"""A model of a cluster in a rollout, and what must hold after every commit.
+"""A stateful model of a cluster during a rollout, with invariants that must hold after every commit.
 
-Processes have watch caches that lag behind, and commits are carried out in any order and at any time. Nothing runs but
-the rollout itself; the rest of a controller is left out.
+The watch caches of processes lag behind, and commits are applied in any order and at any time. Only the rollout itself
+runs; the rest of a controller is not part of the model.
 """
 
 from __future__ import annotations
@@ -43,8 +43,10 @@
 NAMES = ("c-0", "c-1", "c-2")
 JOBS = ("run-000001", "run-000002")
 TXN_OPS = 8
-ABLE, UNAWARE, PRODUCTION = "able", "unaware", "production"  # programs; unaware ones read version 1, by themselves
-MAX_PLAIN_BYTES = 1  # every record becomes compact where it may
+# Programs that follow rollouts, programs that read version 1 without following rollouts, and production's version.
+ABLE, UNAWARE, PRODUCTION = "able", "unaware", "production"
+MAX_PLAIN_BYTES = 1  # so small that every record is written compact where that is allowed
+# The change of the version by each allowed change of the phase.
 TRANSITIONS = {
     ("finalized", "prepared"): 0,
     ("prepared", "soak"): 0,
@@ -63,7 +65,7 @@
 
 @dataclass
 class Process:
-    """A controller's process: its program, lease, watch cache, and the operators' settings that it was started with."""
+    """A controller process with its program, lease, watch cache, and the operators' settings at its start."""
 
     name: str
     program: str
@@ -80,7 +82,7 @@
 class Cluster(RuleBasedStateMachine):
     """Controllers of several programs, one key-value store, and commits that arrive late.
 
-    `late` has the transactions that are on their way, `history` every rollout record that was committed.
+    `late` holds the transactions in flight, `history` every rollout record that was committed.
     """
 
     def __init__(self) -> None:
@@ -145,7 +147,7 @@
         excused=st.sampled_from([frozenset(), frozenset(), frozenset({"c-2"})]),
     )
     def start(self, name: str, program: str, goal: int, excused: frozenset[str]) -> None:
-        """Start a process; the operators keep to the one rule for programs that don't follow rollouts."""
+        """Start a process; operators don't start production's version at a version above 0, unless it is barred."""
         if name in self.running:
             return
         bar = self.state.items.get(keys.node(name))
@@ -153,7 +155,7 @@
         if program == PRODUCTION and self._version() > 0 and not barred:
             return
         if program != ABLE and barred:
-            return  # it finds a record and waits for ever
+            return  # the process finds a record under its key and waits indefinitely
         watch_cache = WatchCache(None, JobStore(), Clock(lambda: self.now, lambda: self.now), 1.0)
         self._catch_up(watch_cache)
         process = Process(name, program, self._lease(), watch_cache, goal, excused)
@@ -173,7 +175,7 @@
 
     @initialize(rounds=st.integers(0, 6), goal=st.sampled_from([0, 1]), more=st.integers(0, 5))
     def begin(self, rounds: int, goal: int, more: int) -> None:
-        """Begin with a cluster whose rollout has got so far, and whose goal may be changed then."""
+        """Set up a cluster after some rounds of a rollout, optionally with its goal lowered afterwards."""
         for name in NAMES:
             self.start(name, ABLE, 1, frozenset())
         self.take_leadership("c-0")
@@ -186,7 +188,7 @@
 
     @rule(goal=st.sampled_from([0, 1]))
     def change_goal(self, goal: int) -> None:
-        """Restart every controller with another goal; other programs go on."""
+        """Restart every controller that follows rollouts with another goal; the other programs keep running."""
         for name in list(self.running):
             if self.running[name].program == ABLE:
                 self.stop(name)
@@ -195,7 +197,7 @@
 
     @rule(isolated=st.sampled_from([None, *NAMES]))
     def round(self, isolated: str | None) -> None:
-        """Let all controllers but one catch up, and the leader take a step."""
+        """Let all controllers but `isolated` catch up with the store, then let the leader take a step."""
         self.time_passes(90.0)
         for name in self.running:
             if name != isolated:
@@ -206,7 +208,7 @@
 
     @rule(name=st.sampled_from(NAMES), job=st.sampled_from(JOBS))
     def read_anew(self, name: str, job: str) -> None:
-        """Read one record after a conflict, ahead of the other changes."""
+        """Reload one record after a conflict, before the watch delivers the other changes."""
         if name in self.running:
             value, mod_revision, _ = self.state.items[keys.job(job)]
             self.running[name].watch_cache.put(keys.job(job), msgspec.msgpack.encode(value), ModRevision(mod_revision))
@@ -221,13 +223,13 @@
 
     @rule(name=st.sampled_from(NAMES))
     def hear_news(self, name: str) -> None:
-        """Bring the watch cache of a process up to date."""
+        """Apply all pending changes to the watch cache of a process."""
         if name in self.running:
             self._catch_up(self.running[name].watch_cache)
 
     @rule(name=st.sampled_from(NAMES))
     def take_leadership(self, name: str) -> None:
-        """Elect a controller that follows rollouts; what the version before this one announces can't be changed."""
+        """Make a controller the leader if it follows rollouts; an earlier version's announcements can't be changed."""
         process = self.running.get(name)
         if process is not None and process.program == ABLE and not self._mod_revision(keys.LEADER):
             self._commit(
@@ -238,12 +240,12 @@
 
     @rule(seconds=st.sampled_from([1.0, 30.0, 90.0]))
     def time_passes(self, seconds: float) -> None:
-        """Move the clock on."""
+        """Advance the clock."""
         self.now += seconds
 
     @rule(name=st.sampled_from(NAMES), late=st.booleans())
     def lead(self, name: str, late: bool) -> None:
-        """Have a controller that believes it leads take a step, by its own watch cache, which may lag behind."""
+        """Let a controller that is leader by its own watch cache, which may lag behind, take a step."""
         process = self.running.get(name)
         if process is not None and process.program == ABLE:
             self._look(process, late)
@@ -283,12 +285,12 @@
 
     @rule(name=st.sampled_from(NAMES), job=st.sampled_from(JOBS), late=st.booleans())
     def write(self, name: str, job: str, late: bool) -> None:
-        """Have a process change a job record."""
+        """Let a process write a job record."""
         if name in self.running:
             self._write(self.running[name], job, late)
 
     def _write(self, process: Process, job: str, late: bool) -> None:
-        """Change a record, in the shape that the process believes may be written."""
+        """Write a record in the layout that is allowed according to the process's watch cache."""
         view = process.watch_cache.store.get(job)
         if view is None or (process.program == PRODUCTION and job in process.watch_cache.compact_jobs):
             return
@@ -304,14 +306,14 @@
     @precondition(lambda self: self.late)
     @rule(number=st.integers(0, 20))
     def carry_out_late(self, number: int) -> None:
-        """Carry out one of the transactions that are on their way."""
+        """Apply one of the transactions in flight."""
         self._commit(self.late.pop(number % len(self.late)))
 
-    # -- what must hold
+    # -- invariants
 
     @invariant()
     def nobody_meets_a_shape_that_it_cannot_read(self) -> None:
-        """Check that production never runs beside a compact record, and that somebody was allowed to write it."""
+        """Check that production never runs while a compact record exists, and that compact records were allowed."""
         shapes = {shape_of(decode_stored(msgspec.msgpack.encode(self.state.items[keys.job(job)][0]))) for job in JOBS}
         if Shape.COMPACT in shapes:
             assert all(process.program != PRODUCTION for process in self.running.values())
@@ -319,19 +321,19 @@
 
     @invariant()
     def version_moves_as_the_tables_say(self) -> None:
-        """Check every change of the version against the table of phases."""
+        """Check every change of the version against `TRANSITIONS`."""
         for before, after in zip(self.history, self.history[1:], strict=False):
             assert after.version - before.version == TRANSITIONS[before.phase.value, after.phase.value]
 
     @invariant()
     def announced_is_what_is_committed(self) -> None:
-        """Check that older programs are told the committed version."""
+        """Check that the version announced to older programs is the committed version."""
         if keys.ROLLOUT in self.state.items:
             announced = self.state.items.get(keys.FORMAT)
             assert self._version() == (announced[0]["version"] if announced else 0)
 
     def teardown(self) -> None:
-        """Check that a rollout ends once every controller follows it with the same goal."""
+        """Check that a rollout is finalized once every controller follows rollouts and has the same goal."""
         for name in list(self.running):
             self.stop(name)
         for name in NAMES:
--- a/tests/simulation/single_faults.py
+++ b/tests/simulation/single_faults.py
@@ -1,4 +1,4 @@
-"""Scenarios of one fault each, played while the jobs of a day arrive and run."""
+"""Scenarios of one fault each, which run while the jobs of a simulated day arrive and run."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 async def shard_owner_crashes(world: World) -> None:
-    """Crash the shard owner three times; each is restarted at once or after its lease has expired."""
+    """Crash the shard owner three times; each time it restarts at once or after its lease has expired."""
     for pause in (20, 6, 9):
         await asyncio.sleep(pause)
         world.spawn(world.restart(shard_owner(world), world.random.choice([0.2, 6.0])))
 
 
 async def all_controllers_crash(world: World) -> None:
-    """Crash all controllers at once; each is restarted at once or late."""
+    """Crash all controllers at once; each restarts after 0.1, 0.4 or 5 s."""
     await asyncio.sleep(22)
     for label in world.labels:
         world.spawn(world.restart(label, world.random.choice([0.1, 0.4, 5.0])))
@@ -32,7 +32,7 @@
 
 
 async def store_refuses_shard_owner_around_outage(world: World) -> None:
-    """Refuse the shard owner alone, with an outage for all in the middle of that."""
+    """Let the store refuse the shard owner for 24 s, with an outage for all controllers for 6 s of them."""
     await asyncio.sleep(18)
     world.state.refused_clients = {shard_owner(world)}
     await asyncio.sleep(8)
@@ -44,7 +44,7 @@
 
 
 async def shard_owner_partitioned(world: World) -> None:
-    """Partition the shard owner from everybody."""
+    """Partition the shard owner from all other hosts."""
     await asyncio.sleep(20)
     world.cut(shard_owner(world), "*")
     await asyncio.sleep(25)
@@ -68,7 +68,7 @@
 
 
 async def machines_hang(world: World) -> None:
-    """Freeze machines that continue just before, at, and after the expiry of their leases."""
+    """Hang machines until just before, at, and after the expiry of their leases."""
     for length in (7.0, 8.5, 12.0):
         await asyncio.sleep(12)
         machines = busy_machines(world)
@@ -102,7 +102,7 @@
 
 
 async def machines_receive_nothing(world: World) -> None:
-    """Let heartbeats of machines arrive but no answer and no command reach them, for a while."""
+    """Partition the inbound side of machines for 6 to 30 s: heartbeats arrive, responses and commands do not."""
     for length in (6.0, 20.0, 30.0):
         await asyncio.sleep(9)
         busy = [machine.id for machine in busy_machines(world)[:2]]
@@ -112,7 +112,7 @@
 
 
 async def machines_receive_nothing_in_cloud_outage(world: World) -> None:
-    """Let machines receive nothing while no release can prove their tasks gone, and crash the shard owner."""
+    """Partition the inbound side of machines and crash the shard owner, while no release can prove their tasks gone."""
     await asyncio.sleep(16)
     world.cloud.down = True
     world.faults.receives_nothing.update([machine.id for machine in busy_machines(world)[:2]])
@@ -124,7 +124,7 @@
 
 
 async def late_heartbeat_copies(world: World) -> None:
-    """Repeat half of all heartbeats late, while machines fail and hang and the shard owner crashes."""
+    """Deliver late copies of half of all heartbeats, while machines fail and hang and the shard owner crashes."""
     world.faults.late_heartbeat_copy_fraction = 0.5
     await asyncio.sleep(18)
     for number, machine in enumerate(busy_machines(world)[:3]):
@@ -140,7 +140,7 @@
 
 
 async def shard_owner_reaches_only_workers(world: World) -> None:
-    """Partition the shard owner from the key-value store and the other controllers, not from its workers."""
+    """Partition the shard owner from the key-value store and the other controllers, but not from its workers."""
     await asyncio.sleep(18)
     isolated = shard_owner(world)
     for other in ["state", *(label for label in world.labels if label != isolated)]:
@@ -150,7 +150,7 @@
 
 
 async def shard_owner_alone_reaches_workers(world: World) -> None:
-    """Partition as above, and the other controllers from the workers: no new owner can fence them."""
+    """Partition the shard owner from the store and its peers, and the peers from workers: none can fence them."""
     await asyncio.sleep(18)
     isolated = shard_owner(world)
     world.cut(isolated, "state")
@@ -163,7 +163,7 @@
 
 
 async def immediate_restarts_during_election(world: World) -> None:
-    """Restart two controllers within a fraction of a second, again and again, requests still on their way."""
+    """Restart two controllers after 0.05 to 0.4 s, six times, while their requests are still in flight."""
     await asyncio.sleep(18)
     for _ in range(6):
         for label in world.random.sample(world.labels, 2):
