--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A small simulated world: virtual time, stand-ins for what the service meets, and the rules as invariants."""
+"""A simulated world: virtual time, stand-ins for external services and machines, and the rules as invariants."""
--- a/tests/simulation/actions.py
+++ b/tests/simulation/actions.py
@@ -1,4 +1,4 @@
-"""What fault scenarios look up in the simulated world and do to it."""
+"""Queries and actions that fault scenarios use on the simulated world."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 def shard_owner(world: World) -> str:
-    """Return the label of a controller that owns a shard; the first one if nobody does."""
+    """Return the label of a controller that owns a shard; `c-0` if none does."""
     return next((label for label, (c, _) in world.controllers.items() if c.shards), "c-0")
 
 
 def leader(world: World) -> str:
-    """Return the label of the leader; the first controller if there is none."""
+    """Return the label of the leader; `c-0` if there is none."""
     return next(
         (label for label, (c, _) in world.controllers.items() if c.controller_lease.leadership_revision() is not None),
         "c-0",
@@ -20,7 +20,7 @@
 
 
 def target_controller(world: World) -> str:
-    """Return the label of the controller that the scenario hits: the leader, or the owner of a shard."""
+    """Return the label of the controller that the scenario targets: the leader or a shard owner."""
     return shard_owner(world) if world.strikes_shard_owner else leader(world)
 
 
@@ -35,26 +35,26 @@
 
 
 def hang_machines(world: World, machines: list[Machine], seconds: float) -> None:
-    """Freeze the machines and let them continue after so many seconds."""
+    """Hang the machines for `seconds`, then let them continue."""
     for machine in machines:
         machine.hung = True
         world.loop.call_later(seconds, setattr, machine, "hung", False)
 
 
 def decline_assignments(world: World, label: str, seconds: float) -> None:
-    """Have a controller acquire neither leadership nor shards for so many seconds."""
+    """Let a controller acquire neither leadership nor shards for `seconds`."""
     lease = world.controllers[label][0].controller_lease
     lease.declines_assignments_until = lease._clock.monotonic() + seconds
 
 
 def lengthen_tasks(world: World, every: int = 2) -> None:
-    """Make every `every`-th job run for longer than any fault lasts."""
+    """Set the run time of every `every`-th job to 60 s, longer than any fault lasts."""
     for number, job in enumerate(sorted(world.durations)):
         if number % every == 0:
             world.durations[job] = 60.0
 
 
 def cancel_running_jobs(world: World, count: int, label: str | None = None) -> None:
-    """Cancel up to `count` random running jobs at once, through the controller `label` or any."""
+    """Cancel up to `count` random running jobs at once, through the controller `label` or any controller."""
     for job in world.random.sample(world.running_jobs(), min(count, len(world.running_jobs()))):
         world.spawn(world.cancel_job(job, label))
--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -1,4 +1,4 @@
-"""A stand-in for the cloud, by the protocol: machine types, provisioning, release, and a list that lags behind."""
+"""A stand-in that implements the cloud's protocol: machine types, provisioning, release, and a list that lags."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 
 Answer = tuple[int, Any]
 
-FAILED_SHOWN_AFTER_S = 30  # from the end of a machine until the list says so
+FAILED_SHOWN_AFTER_S = 30  # the list reports a machine as failed this long after its failure
 SNAPSHOTS_KEPT = 60
 
 
 class Cloud:
-    """Provisions machines of two types, up to the world's capacity for each zone, spot and on-demand apart.
+    """Provisions machines of two types, up to the world's capacity per zone, separately for spot and on-demand.
 
     Attributes:
-        provisioned: the machines of every scale-out request by its name; a repeated request gets the same ones.
-        left: how many machines there still are, by zone and whether they are spot.
+        provisioned: the machines of each scale-out request by its name; a repeated request gets the same machines.
+        left: the number of machines that are still available, by zone and whether they are spot.
         down: whether every request is refused.
+        history: snapshots of the machine list with their simulated times in seconds.
 
     """
 
@@ -67,7 +68,7 @@
         return next(one for one in cls.TYPES if one["sku"] == name)
 
     def snapshot(self) -> None:
-        """Note the list of machines as it is now; requests get an older one."""
+        """Record the current list of machines; list requests get a snapshot that is `list_lag_s` old."""
         now = self.world.now()
         listed = sorted((m for m in self.world.machines.values() if not m.released), key=lambda machine: machine.id)
         rows = [self._row(machine, now) for machine in listed if not machine.reclaimed]
@@ -91,7 +92,7 @@
         }
 
     async def handle(self, src: str, method: str, path: str, body: bytes) -> Answer:
-        """Answer a request with a status and a body."""
+        """Handle a request; return the status and the body of the response."""
         if self.down:
             return 503, {"error": "trouble"}
         path, _, _ = path.partition("?")
--- a/tests/simulation/commit_history.py
+++ b/tests/simulation/commit_history.py
@@ -1,4 +1,4 @@
-"""The history of commits, and checks of the order in which work is placed while a zone is lost or returns."""
+"""The history of commits, and checks of the placement order while a zone is lost or recovering."""
 
 from __future__ import annotations
 
@@ -7,12 +7,13 @@
 from cloverplank.kvstore import keys
 from tests.simulation.world import WALL_CLOCK_OFFSET_S, World
 
-SEEN_S = 2.0  # after which every controller acts on what was committed
-MIN_HOLD_S = 15.0  # shorter than the hold: a job that began to wait later than that may still be held
+SEEN_S = 2.0  # the time within which every controller acts on a committed change
+# Shorter than the hold of bulk work: a bulk job that has waited for less than this must still be held.
+MIN_HOLD_S = 15.0
 
 
 class CommittedPut(NamedTuple):
-    """A key that was put, with the simulated time in seconds."""
+    """A committed put of a key; `at` is the simulated time in seconds."""
 
     at: float
     key: str
@@ -20,7 +21,7 @@
 
 
 class CommitHistory:
-    """Records the keys that are put from its construction on."""
+    """Records all committed puts after its construction."""
 
     def __init__(self, world: World, bulk_class: str) -> None:
         self.world = world
@@ -39,7 +40,7 @@
         world.state._commit = commit
 
     def healths(self, zone: str) -> list[str]:
-        """Return the verdicts on a zone, each that differs from the one before."""
+        """Return the health of a zone in each verdict, without consecutive duplicates."""
         found: list[str] = []
         for _, key, value in self.commits:
             if key == keys.zone(zone) and _is_verdict(value) and (not found or found[-1] != value["health"]):
@@ -49,8 +50,8 @@
     def bulk_before_essential(self) -> list[str]:
         """Return the placements of bulk work that came too early.
 
-        That is while it should still have been held, and a replica or a task with a deadline had waited since the
-        zone was lost.
+        A placement is too early if the work should still have been held while a service replica or a task with a
+        deadline had been waiting since the zone was lost.
         """
         check = _PlacementOrder(self.bulk_class)
         for put in self.commits:
@@ -61,9 +62,9 @@
         return check.violations
 
     def first_replacements(self, zone: str) -> list[str]:
-        """Return the classes of the jobs that lost tasks with the zone, in the order in which each was placed again.
+        """Return the classes of the jobs that lost tasks with the zone, in the order of their new placements.
 
-        Commits are the clock: how long they took says nothing.
+        The order is that of the commits; their times are not compared.
         """
         lost = False
         in_zone: set[str] = set()
@@ -101,7 +102,7 @@
 
 
 def _count(bounds: list[int]) -> int:
-    """Count the numbers in ranges that are given as their first and last numbers in turn."""
+    """Count the numbers in ranges; `bounds` alternates the first and the last number of each range."""
     return sum(last - first + 1 for first, last in zip(bounds[::2], bounds[1::2], strict=True))
 
 
@@ -111,13 +112,13 @@
 
 
 def _waiting_since(record: dict) -> float:
-    """Return when a job was submitted or last lost tasks."""
+    """Return the simulated time in seconds at which a job was submitted or last lost tasks, whichever is later."""
     times_ms = [record["at"], *(entry[2] for entry in record.get("ev", []))]
     return max(time_ms / 1000 - WALL_CLOCK_OFFSET_S for time_ms in times_ms)
 
 
 class _PlacementOrder:
-    """Follows job records and verdicts on zones, in the order of their commits."""
+    """Checks the placement order by the job records and zone verdicts, in commit order."""
 
     def __init__(self, bulk_class: str) -> None:
         self._bulk_class = bulk_class
--- a/tests/simulation/day.py
+++ b/tests/simulation/day.py
@@ -1,4 +1,4 @@
-"""A day in the simulated world: jobs of several types arrive, some are cancelled, and a fault scenario is played."""
+"""A day in the simulated world: jobs of several types arrive, some are cancelled, and a fault scenario runs."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 DAY_S = 90.0
 JOBS = 12
-AFTER_CANCELLATIONS_S = 5.0  # waited beyond the time in which cancelled tasks must stop
+AFTER_CANCELLATIONS_S = 5.0  # additional wait after `cancel_s`, within which cancelled tasks must stop
 
 
 async def day(
     world: World, fault: Callable[[World], Awaitable[None]] | None = None, seconds: float = DAY_S, jobs: int = JOBS
 ) -> dict[str, str | None]:
-    """Play a day while `fault` happens, then check the recovery; return the final state of each job by then."""
+    """Simulate a day concurrently with `fault`, then check the recovery; return the final states of the jobs."""
     ends: dict[str, str | None] = {}
 
     async def follow(spec: dict, after: float, cancel_after: float | None) -> None:
@@ -43,7 +43,7 @@
 
 
 def _job(world: World, number: int) -> dict:
-    """Make up a service or an array, of either team, with or without constraints and checkpoints."""
+    """Create a service or a batch job, of either team, with or without constraints and checkpoints."""
     service = number % 4 == 3
     return world.job(
         number,
@@ -62,15 +62,15 @@
 
 
 def check(world: World) -> None:
-    """Check that no rule was broken and that something ran at all."""
+    """Check that no rule was broken and that at least one task was started."""
     assert not world.rules.violations, "\n".join(world.rules.notes)
     assert world.rules.starts > 0
 
 
 def play_day(world_of: Callable[[], World], scenario: Scenario, *more: Callable[[World], None], **of_day: Any) -> World:
-    """Play a day in which the scenario runs to its end, and check the rules.
+    """Simulate a day in which the scenario must run to its end, and check the rules.
 
-    `more` are called before the day begins; `of_day` is passed to `day`.
+    `more` are called with the world before the day begins; `of_day` is passed to `day`.
     """
 
     async def work() -> World:
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -1,4 +1,4 @@
-"""The faults of messages that a test switches on and off while the simulated world runs."""
+"""Message faults that a test enables and disables while the simulated world runs."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 
 @dataclass(slots=True, kw_only=True)
 class MessageFaults:
-    """What happens to messages on their way, beside partitions and the constant noise; nothing by default.
+    """Faults of messages in flight, in addition to partitions and the constant noise; none by default.
 
-    A fraction is the probability with which a message of that type is affected. With `slots`, a fault that is misspelled
-    in a test is an error.
+    A fraction is the probability that a message of that type is affected. `slots` makes a misspelled fault in a test an
+    error.
     """
 
-    # Machine names. One-way partitions: heartbeats arrive, answers and commands don't; or the other way round.
+    # Names of machines with a one-way partition: inbound (heartbeats arrive, responses and commands don't) or outbound.
     receives_nothing: set[str] = field(default_factory=set)
     sends_nothing: set[str] = field(default_factory=set)
-    # Heartbeats of which a copy arrives late, up to four worker leases.
+    # Heartbeats of which a copy arrives late, by up to four worker leases.
     late_heartbeat_copy_fraction: float = 0.0
-    # Heartbeats that arrive 5 to 15 s late, at any controller, and get no answer.
+    # Heartbeats that arrive 5 to 15 s late at a random controller and get no response.
     delayed_heartbeat_fraction: float = 0.0
-    # Direct commands that arrive 1 to 8 s late, or whose answers are lost.
+    # Direct commands that arrive 1 to 8 s late, or whose responses are lost.
     delayed_command_fraction: float = 0.0
-    # Transactions that get no answer and are carried out 2 to 12 s late.
+    # Transactions that get no response and are applied 2 to 12 s late.
     late_commit_fraction: float = 0.0
     # Jobs that are cancelled when their last task ends. No stand-in reads this yet: setting it has no effect.
     cancel_at_completion_fraction: float = 0.0
-    # Additional delay of each request to the key-value store, and of each message.
+    # Upper bounds of the additional delay of each request to the key-value store, and of each message.
     max_store_delay_s: float = 0.0
     max_link_delay_s: float = 0.0
-    # Whether half of the messages into a partition are held and delivered when it heals; the others are lost.
+    # Whether half of the messages into a partition are held until it heals; the other half is lost.
     hold_partitioned_messages: bool = True
     held_messages: list[Callable[[], Awaitable[object]]] = field(default_factory=list)
--- a/tests/simulation/job_graphs.py
+++ b/tests/simulation/job_graphs.py
@@ -1,4 +1,4 @@
-"""Jobs that depend on one another in the simulated world, and what a test asks about them."""
+"""Jobs that depend on one another in the simulated world, and helpers to submit and poll them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def chain(world: World, first: int, *more_of_each: dict, **of_all) -> list[dict]:
-    """Make up jobs of which each needs the one before; `of_all` and `more_of_each` are fields of the protocol."""
+    """Create jobs that each depend on the previous one; `of_all` and `more_of_each` set fields of the protocol."""
     specs: list[dict] = []
     for number, more in enumerate(more_of_each):
         needs = [specs[-1]["id"]] if specs else None
@@ -17,7 +17,7 @@
 
 
 def diamond(world: World, first: int) -> list[dict]:
-    """Make up one job, two that need it, and a last one that needs all three."""
+    """Create one job, two that depend on it, and a last one that depends on all three."""
     top = world.job(first, pieces=3, vcpus=1.0, rank="idle")
     sides = [world.job(first + n, pieces=2, vcpus=1.0, rank="idle", waits_on=[top["id"]]) for n in (1, 2)]
     last = world.job(first + 3, pieces=2, vcpus=1.0, rank="urgent", waits_on=[top["id"], *(s["id"] for s in sides)])
@@ -25,7 +25,7 @@
 
 
 async def submit_in_turn(world: World, specs: list[dict]) -> None:
-    """Submit jobs in their order, each until it is accepted."""
+    """Submit jobs one after another, each until it is accepted."""
     for spec in specs:
         assert await world.submit(spec), spec["id"]
 
@@ -36,7 +36,7 @@
 
 
 async def end_of(world: World, spec: dict, within_s: float = 120.0) -> str | None:
-    """Poll a job until it has ended; return its final state, or None if it has none in time."""
+    """Poll a job until it has ended; return its final state, or None if it has not ended after `within_s`."""
     until = world.now() + within_s
     while world.now() < until:
         state = await state_of(world, spec)
@@ -47,13 +47,13 @@
 
 
 async def ready(world: World) -> None:
-    """Wait until every controller takes requests."""
+    """Wait until every controller is ready for requests."""
     while not all(c.router.ready() for c, _ in world.controllers.values()):
         await asyncio.sleep(0.2)
 
 
 async def submit_once(world: World, spec: dict) -> tuple[int, dict]:
-    """Submit a job with one request; return the status and the body of the answer."""
+    """Submit a job with a single request; return the status and the body of the response."""
     world.rules.submitted.add(spec["id"])
     world.rules.submitted_at.setdefault(spec["id"], world.now())
     return await world.ask("POST", "/api/jobs", spec)
--- a/tests/simulation/kvstore.py
+++ b/tests/simulation/kvstore.py
@@ -1,7 +1,7 @@
-"""A stand-in for the key-value store, by the protocol: transactions, leases, lists and watches; one copy, no quorum.
+"""A stand-in for the key-value store with transactions, leases, lists and watches; one replica, no quorum.
 
-Field names and paths are those of the protocol. A mod revision is its `stamp`, a revision its `epoch`, a lease its
-`hold`.
+Field names and paths are those of the store's protocol, which encodes a mod revision as `stamp`, a revision as `epoch`
+and a lease as `hold`.
 """
 
 from __future__ import annotations
@@ -16,23 +16,25 @@
 
 Answer = tuple[int, Any]
 
-LEASE_SLACK_S = 0.05  # a lease ends this much late, never early
-WATCH_POLL_S = (0.05, 0.3)  # bounds of the time until a watch without news looks at outages and leases again
+LEASE_SLACK_S = 0.05  # a lease expires this long after its end, never before it
+WATCH_POLL_S = (0.05, 0.3)  # bounds of the interval at which an idle watch checks for outages and expired leases
 MAX_TRANSACTION_BYTES = 64 * 1024
 MAX_COMPARES_PER_CHANGE = 4
 UNAVAILABLE: Answer = (503, {"error": "trouble"})
 
 
 class KeyValueStore:
-    """Serves controllers, unless it is down for all or refuses one.
+    """Serves requests of controllers, except during an outage or while it refuses a controller.
 
     Attributes:
-        items: value, mod revision and lease of every key.
+        items: the value, mod revision and lease of each key.
         leases: the time at which each lease ends, and its duration, in seconds.
-        log: every change since the start; watches read it, and checkers.
-        down: whether no request but a waiting watch is answered.
+        log: all changes since the start; watches and checks read it.
+        down: whether there is an outage: watches hang, all other requests are refused.
         refused_clients: labels of controllers whose requests alone are refused.
-        refused_commits: the limits that transactions broke, in words.
+        refused_commits: descriptions of the limits that transactions exceeded.
+        news: set when a change is committed, to wake up waiting watches.
+        value_bytes, txn_ops: the limits of the size of a value and of the number of changes in a transaction.
 
     """
 
@@ -50,7 +52,7 @@
         self.refused_commits: list[str] = []
 
     async def handle(self, src: str, method: str, path: str, body: bytes) -> Answer:
-        """Answer a request with a status and a body."""
+        """Handle a request; return the status and the body of the response."""
         self.expire()
         path, _, query = path.partition("?")
         asked = dict(urllib.parse.parse_qsl(query))
@@ -67,13 +69,13 @@
         return self._leases(method, path, body)
 
     def outage(self, down: bool) -> None:
-        """Begin or end an outage; at its end every lease starts anew."""
+        """Start or end an outage; at its end every lease is renewed for its full duration."""
         self.down = down
         if not down:
             self.leases = {lease: (self.now() + life_s, life_s) for lease, (_, life_s) in self.leases.items()}
 
     def expire(self) -> None:
-        """End the leases whose time is over; none ends while the store is down."""
+        """Expire the leases that are due; none expires while the store is down."""
         if self.down:
             return
         for lease, (ends_at, _) in list(self.leases.items()):
@@ -90,7 +92,7 @@
                 self._delete(key)
 
     def over_limit(self, asked: dict) -> str:
-        """Return the limit of the protocol that a transaction breaks, sizes counted as JSON; empty if none."""
+        """Return the limit of the protocol that a transaction exceeds, or an empty text; sizes are those as JSON."""
         writes = asked.get("writes") or []
         if len(writes) > self.txn_ops:
             return f"{len(writes)} changes"
@@ -173,7 +175,7 @@
             self.news.set()
 
     async def _watch(self, src: str, asked: dict[str, str]) -> Answer:
-        """Answer with the changes after a revision, once there are any or the time is over; hang during an outage."""
+        """Return the changes after a revision once there are any or `wait_ms` has passed; hang during an outage."""
         after = int(asked["from"])
         until = self.now() + int(asked.get("wait_ms", 0)) / 1000
         shortest_s, longest_s = WATCH_POLL_S
--- a/tests/simulation/link.py
+++ b/tests/simulation/link.py
@@ -1,4 +1,4 @@
-"""The transport of one controller in the simulated world; stands in for its HTTP client."""
+"""The transport of one controller in the simulated world, which replaces its HTTP client."""
 
 from __future__ import annotations
 
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -1,6 +1,6 @@
-"""The simulated network: what happens to a message between its sender and its receiver.
+"""The simulated network, which carries, delays, repeats and loses messages between hosts.
 
-Stands in for sockets, HTTP and everything between them. Times are in seconds of simulated time. Every probability is
+Replaces sockets, HTTP and everything between them. Times are in seconds of simulated time. Every probability is
 drawn from the one random generator of the world, in a fixed order, so a seed always gives the same run.
 """
 
@@ -24,19 +24,20 @@
     from tests.simulation.rules import Rules
     from tests.simulation.worker import Machine
 
-STORE, CLOUD, WORKERS, EVERYBODY = "state", "cloud", "workers", "*"  # hosts that partitions name beside labels
+# Hosts and groups of hosts that partitions name, in addition to controller labels and machine names.
+STORE, CLOUD, WORKERS, EVERYBODY = "state", "cloud", "workers", "*"
 STORE_ADDRESS, CLOUD_ADDRESS = "10.2.0.1:2379", "10.2.0.2:8443"
 USER_ADDRESS_PREFIX, CONTROLLER_ADDRESS_PREFIX = "front:", "10.0.0."
 MACHINE_PREFIX = "m-"
 HEARTBEAT_PATH, COMMANDS_PATH, COMMIT_PATH, WATCH_PATH = "/v1/report", "/orders", "/commit", "/watch"
-LINK_DELAY_S = (0.001, 0.01)  # one way
-REFUSAL_S = 0.002  # until a connection to a process that is down is refused
-LATE_COPY_LEASES = 4  # the latest copy of a heartbeat arrives after so many worker leases
+LINK_DELAY_S = (0.001, 0.01)  # bounds of the one-way delay
+REFUSAL_S = 0.002  # the time after which a connection to a process that is down is refused
+LATE_COPY_LEASES = 4  # the maximum delay of a copied heartbeat, in worker leases
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Message:
-    """A request on its way. `host` is who the address belongs to: a controller's label, a machine's name, or a service."""
+    """A request in flight. `host` is the owner of `addr`: a controller label, a machine name, or a service."""
 
     src: str
     host: str
@@ -47,7 +48,7 @@
     timeout_s: float
 
     def to_controller(self, label: str) -> Message:
-        """Return the same request, sent to the address of a controller that serves users and workers."""
+        """Return the same request, addressed to a controller's endpoint for users and workers."""
         return dataclasses.replace(self, host=label, addr=USER_ADDRESS_PREFIX + label)
 
 
@@ -68,21 +69,21 @@
     controllers: dict[str, tuple[Controller, asyncio.Task]]
 
     def now(self) -> float:
-        """Return the simulated time."""
+        """Return the simulated time in seconds."""
         raise NotImplementedError
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Start a task that ends with the world."""
+        """Start a background task, which is cancelled at the end of the run."""
         raise NotImplementedError
 
     # -- partitions
 
     def cut(self, one: str, other: str) -> None:
-        """Partition two hosts from each other: labels, machine names, services, all `workers`, or `*` for everybody."""
+        """Partition two hosts: controller labels, machine names, services, all `workers`, or `*` for all hosts."""
         self.cuts |= {(one, other), (other, one)}
 
     def cut_zone(self, zone: str) -> None:
-        """Partition a zone: its controllers and machines reach one another and nobody else."""
+        """Partition a zone: its controllers and machines reach one another and no other host."""
         inside = [label for label in self.labels if self.home[label] == zone]
         inside += [m.id for m in self.machines.values() if m.zone == zone]
         outside = [label for label in self.labels if self.home[label] != zone]
@@ -92,7 +93,7 @@
                 self.cut(one, other)
 
     def heal(self) -> None:
-        """End all partitions and deliver what was held at them."""
+        """End all partitions and deliver the messages that they held."""
         self.cuts.clear()
         for deliver in self.faults.held_messages:
             self.spawn(deliver())
@@ -109,7 +110,7 @@
     # -- messages
 
     async def send(self, src, addr, method, path, body=None, timeout=2.0) -> Response:
-        """Carry a request and its response; raise `NoResponseError` after the time limit if either is lost or late."""
+        """Carry a request and its response; raise `NoResponseError` after `timeout` s if either is lost or late."""
         message = Message(src, self._host(addr), addr, method, path, body or b"", timeout)
         if path == COMMANDS_PATH and message.body:
             self.rules.commands_sent(src, msgspec.msgpack.decode(message.body)["orders"])
@@ -140,7 +141,7 @@
         return f"{MACHINE_PREFIX}{number:06d}"
 
     async def _leave_sender(self, message: Message) -> None:
-        """Fail if the receiver's process is down, or if a partition keeps the request from it."""
+        """Raise if the receiver is down, or if a partition stops the request, which may be held until it heals."""
         if message.host in self.labels and message.host not in self.controllers:
             await asyncio.sleep(REFUSAL_S)
             raise RequestNotSentError("refused")
@@ -156,7 +157,7 @@
         raise RequestNotSentError("partition")
 
     async def _apply_faults(self, message: Message) -> None:
-        """Apply the faults of this type of message; the order of the draws is part of every seed."""
+        """Apply the faults for this type of message; the order of the random draws determines the run of each seed."""
         self._copy_heartbeat(message)
         await self._delay_commit(message)
         if message.host == STORE and self.faults.max_store_delay_s:
@@ -167,11 +168,11 @@
         await self._delay_heartbeat(message)
 
     def _happens(self, fraction: float) -> bool:
-        """Draw whether a fault affects a message; without the fault nothing is drawn."""
+        """Draw whether a fault affects a message; a disabled fault consumes no random number."""
         return fraction > 0 and self.random.random() < fraction
 
     def _copy_heartbeat(self, message: Message) -> None:
-        """Have a copy arrive late at any controller: the worker may have changed over meanwhile."""
+        """Deliver a late copy to a random controller: the worker may have changed its controller in the meantime."""
         if message.path == HEARTBEAT_PATH and self._happens(self.faults.late_heartbeat_copy_fraction):
             copy = message.to_controller(self.random.choice(self.labels))
             self._deliver_after(self.random.uniform(0.5, LATE_COPY_LEASES * self.lease_s), copy)
@@ -183,7 +184,7 @@
             await self._lose(message, "carried out late")
 
     async def _delay_command(self, message: Message) -> None:
-        """Hold up a command, or the answer to one that was carried out in time."""
+        """Delay a command, or lose the response to a command that was executed in time."""
         if message.path == COMMANDS_PATH and self._happens(self.faults.delayed_command_fraction):
             delay_s = self.random.uniform(1.0, 8.0)
             if self.random.random() < 0.5:
@@ -199,16 +200,16 @@
             await self._lose(message, "heartbeat delayed")
 
     async def _apply_one_way_partitions(self, message: Message) -> None:
-        """Lose what is sent to a machine that receives nothing, and the answers to what it sends."""
+        """Lose requests to a machine that receives nothing, and the responses to its own requests."""
         if message.host in self.faults.receives_nothing:
             await self._lose(message, "one-way partition")
         if message.src in self.faults.receives_nothing:
-            for label in self.labels:  # the worst case: whichever controller owns the shard hears every heartbeat
+            for label in self.labels:  # the worst case: every controller, so also the shard owner, gets the heartbeat
                 await self._deliver(message.to_controller(label))
             await self._lose(message, "one-way partition")
 
     async def _apply_request_noise(self, message: Message, draw: float) -> None:
-        """Lose, delay or repeat the request. Of the noise 0.3 loses, 0.3 delays, 0.2 repeats, 0.2 loses the response."""
+        """Lose, delay or repeat the request: 0.3, 0.3 and 0.2 of the noise; the last 0.2 loses the response."""
         if draw < self.noise * 0.3:
             await self._lose(message, "request lost")
         if draw < self.noise * 0.6:
@@ -218,7 +219,7 @@
             self._deliver_after(self.random.uniform(0.1, 10.0), message)
 
     async def _exchange(self, message: Message) -> tuple[int, bytes]:
-        """Deliver the request, which is carried out to its end even if the sender stops waiting for the response."""
+        """Deliver the request, which is processed to its end even if the sender stops waiting for the response."""
         delivery = asyncio.ensure_future(self._deliver(message))
         try:
             async with asyncio.timeout(message.timeout_s):
@@ -245,7 +246,7 @@
     # -- receivers
 
     async def _deliver(self, message: Message) -> tuple[int, bytes] | None:
-        """Have the receiver carry out the request; None if it is down."""
+        """Let the receiver handle the request; return None if the receiver is down."""
         if message.host == STORE:
             status, value = await self.state.handle(message.src, message.method, message.path, message.body)
         elif message.host == CLOUD:
--- a/tests/simulation/production.py
+++ b/tests/simulation/production.py
@@ -1,7 +1,7 @@
-"""Stands in for production's version of a controller, in worlds in which two versions serve.
+"""A stand-in for production's version of a controller, for simulated worlds with two versions.
 
-The controller behind the link is of this version. The link changes what it writes to what production would write, and
-what it reads to what production would understand.
+The controller behind the link is of the current version. The link converts its writes to those of production's version,
+and reduces what it reads to what production's version understands.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 STORE_ADDRESS = "10.2.0.1:2379"
 NOBODYS_LEASE = 1
-UNKNOWN_PREFIXES = ("cp/wait/", "cp/format", "cp/rollout")  # that production neither reads nor writes
+UNKNOWN_PREFIXES = ("cp/wait/", "cp/format", "cp/rollout")  # keys that production neither reads nor writes
 RECORD_TYPES = {"cp/job/": messages.JobRecord, "cp/node/": messages.NodeRecord}
 
 
 def as_production(key: str, value: Any) -> Any:
-    """Return the value without the fields that production does not know; None where it can't read it."""
+    """Return the value without the fields that production does not know; None if production can't read it."""
     for prefix, record_type in RECORD_TYPES.items():
         if key.startswith(prefix):
             try:
@@ -32,12 +32,12 @@
 
 
 class ProductionLink(Link):
-    """Hides from a controller that there is a newer version, and drops the fields that the newer one has added."""
+    """Hides the newer version from a controller, and drops the fields that the newer version has added."""
 
     async def request(
         self, addr: str, method: str, path: str, body: bytes | None = None, timeout: float = 2.0
     ) -> Response:
-        """Send a request; those to the key-value store and their answers are changed to production's view."""
+        """Send a request; requests to the key-value store and their responses are converted for production."""
         if addr != STORE_ADDRESS:
             return await super().request(addr, method, path, body, timeout)
         if any(f"/keys/{prefix}" in path for prefix in UNKNOWN_PREFIXES):
@@ -62,7 +62,7 @@
     def _answer(self, body: bytes) -> bytes:
         found = msgspec.msgpack.decode(body)
         if str(found.get("path", "")).startswith("cp/node/") and found["value"]["lease"] == 0:
-            # Production takes any record under its key for a former process's and ends that one's lease.
+            # Production attributes any record under its key to a former process, and revokes the lease in the record.
             found["value"]["lease"] = NOBODYS_LEASE
         if "rows" in found:
             found["rows"] = [row for row in found["rows"] if self._is_readable(row, "path")]
@@ -71,7 +71,7 @@
         return msgspec.msgpack.encode(found)
 
     def _is_readable(self, row: dict, key: str) -> bool:
-        """Change the value to production's view; note it if production could not read it."""
+        """Convert the value for production; return whether production reads it, and record unreadable keys."""
         if row[key].startswith(UNKNOWN_PREFIXES):
             return False
         row["value"] = as_production(row[key], row["value"])
--- a/tests/simulation/recovery.py
+++ b/tests/simulation/recovery.py
@@ -1,4 +1,4 @@
-"""What must hold once all faults of a run are over."""
+"""Checks of the recovery after all faults of a run are over."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from tests.simulation.users import Users
 from tests.simulation.worker import Machine
 
-MAX_RECOVERY_S = 75.0  # until every job is known and runs
+MAX_RECOVERY_S = 75.0  # the time within which every controller must know each job, and each job must run
 MAX_WAIT_BESIDE_CAPACITY_S = 90.0
-OBSERVATION_S = 20.0  # for how long after the recovery waiting tasks are looked for
+OBSERVATION_S = 20.0  # how long after the recovery time the check looks for waiting tasks
 POLL_S = 2.0
 
 
 class RecoveryChecks(Network, Users, JobQueries):
-    """The part of the world that judges how it recovers; its state is set up by `World`."""
+    """The part of the world that checks the recovery; its state is set up by `World`."""
 
     async def check_recovery(self, within_s: float = MAX_RECOVERY_S) -> None:
-        """Check that every controller knows every accepted job, and that each job not cancelled has run or runs."""
+        """Check that each controller knows each accepted job, and that jobs run unless cancelled or blocked."""
         jobs = sorted(self.rules.accepted)
         until = self.now() + within_s
         await asyncio.gather(*(self._check_known(job, label, until) for job in jobs for label in self.labels))
@@ -29,7 +29,7 @@
             await asyncio.sleep(1.0)
             waiting = [job for job in waiting if not self.has_started(job) and not self.is_blocked(job)]
         for job in waiting:
-            self.rules.record_violation("forgotten", f"{job} was accepted and does not run")
+            self.rules.record_violation("forgotten", f"{job} was accepted and does not run after {within_s:.0f} s")
         await self._check_nobody_starves(until)
 
     async def _check_known(self, job: str, label: str, until: float) -> None:
@@ -38,12 +38,12 @@
             if status == 200:
                 return
             if self.now() > until:
-                self.rules.record_violation("forgotten", f"{job}: {label} does not answer")
+                self.rules.record_violation("forgotten", f"{job}: {label} does not answer for it, status {status}")
                 return
             await asyncio.sleep(POLL_S)
 
     async def _check_nobody_starves(self, since: float) -> None:
-        """Check that no task waits for long beside a machine with room, its team under its quota."""
+        """Check that no task waits too long although a machine has capacity and its team is below its quota."""
         waiting_since: dict[str, float] = {}
         while self.now() < since + OBSERVATION_S or (
             waiting_since and self.now() < min(waiting_since.values()) + MAX_WAIT_BESIDE_CAPACITY_S + 1.0
@@ -52,12 +52,12 @@
             waiting_since = {name: waiting_since.get(name, self.now()) for name in waiting}
             for name, began_at in waiting_since.items():
                 if self.now() - began_at >= MAX_WAIT_BESIDE_CAPACITY_S:
-                    self.rules.record_violation("starved", f"{name} waits since {began_at:.1f} beside room")
+                    self.rules.record_violation("starved", f"{name} waits since {began_at:.1f} with capacity free")
                     return
             await asyncio.sleep(POLL_S)
 
     def _waiting_beside_capacity(self, job: str) -> list[str]:
-        """Return one task of a job that waits although a machine could take it; none if there is no such task."""
+        """Return one task of a job that waits although a machine could run it, or an empty list."""
         spec = self.jobs[job]
         if job in self.rules.cancel_asked or self.is_blocked(job):
             return []
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -1,7 +1,7 @@
-"""The rules of the protocol, checked at the moment at which each could be broken.
+"""The rules of the protocol, each checked at the event that could break it.
 
-Stand-ins and users tell `Rules` what happens; it notes every violation and never interferes. The names of the rules
-are those of the protocol, and beside them `begun_late`, `started_cancelled` and `starved`, which are stricter.
+Stand-ins and users report events to `Rules`, which records violations and never interferes. The names of the rules are
+those of the protocol, plus `begun_late`, `started_cancelled` and `starved`, which are stricter.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
     from tests.simulation.worker import Machine
     from tests.simulation.world import World
 
-CONTROLLER_LEASE_S = 4.0  # a controller without contact starts nothing beyond its own lease
-MAX_START_DELAY_S = 240.0  # from the submission of a job to the start of its first task
+CONTROLLER_LEASE_S = 4.0  # a controller without contact must not start tasks after its own lease has expired
+MAX_START_DELAY_S = 240.0  # the longest time from the submission of a job to the start of its first task
 MAX_NOTES = 50
 CPU_TOLERANCE = 1e-6
 FINAL_STATES = ("done", "cancelled")
@@ -26,19 +26,19 @@
 
 
 class Rules:
-    """What happened in a run so far, and which rules were broken.
+    """The events of a run so far, and the rules that were broken.
 
     Attributes:
-        violations: how often each rule was broken.
-        notes: the first violations, in words, with their times.
-        running_on: the machines on which a task runs.
-        submitted, submitted_at: jobs that a user tried to submit, and when first.
-        accepted: jobs that some answer showed to be accepted.
-        final_states: the final state that users were told of a job last.
-        cancel_asked: jobs that a user asked to cancel.
-        cancelled_at: when a user was first told that a job is cancelled.
-        starts: how many tasks were started.
-        started_jobs: jobs of which a task was started.
+        violations: the number of violations by rule.
+        notes: descriptions of the first violations, with their times.
+        running_on: the machines on which each task runs.
+        submitted, submitted_at: jobs that a user tried to submit, and the time in seconds of the first attempt.
+        accepted: jobs that some response reported as accepted.
+        final_states: the final state of each job in the last response to a user that had one.
+        cancel_asked: jobs whose cancellation a user requested.
+        cancelled_at: the time in seconds of the first response that reported a job as cancelled.
+        starts: the number of started tasks.
+        started_jobs: jobs with at least one started task.
 
     """
 
@@ -65,13 +65,15 @@
     # -- tasks
 
     def task_started(self, name: str, attempt: int, machine: Machine) -> None:
-        """Check a task that has its image and starts on a machine."""
+        """Check a task that starts on a machine after its image was pulled."""
         self.starts += 1
         machines = self.running_on.setdefault(name, set())
         if machines - {machine.id}:
-            self.record_violation("ran_twice", f"{name} try {attempt} on {machine.id}, also on {machines}")
+            self.record_violation("ran_twice", f"{name} attempt {attempt} on {machine.id}, also on {machines}")
         if self._is_wrong_place(name, machine):
-            self.record_violation("wrong_place", f"{name} on {machine.id}")
+            self.record_violation(
+                "wrong_place", f"{name} on {machine.id} ({machine.type}, {machine.zone}, spot: {machine.spot})"
+            )
         for upstream in self.world.upstream(job_of(name)):
             if not self.world.all_done(upstream):
                 self.record_violation("too_early", f"{name} starts before {upstream} is done")
@@ -81,7 +83,7 @@
         self.started_jobs.add(job_of(name))
 
     def task_ended(self, name: str, machine: Machine) -> None:
-        """Note that a task does not run on a machine any more."""
+        """Record that a task no longer runs on a machine."""
         self.running_on.get(name, set()).discard(machine.id)
 
     def _is_wrong_place(self, name: str, machine: Machine) -> bool:
@@ -109,7 +111,7 @@
         team = self.world.jobs[job_of(name)]["crew"]
         used = self.world.used(team)
         if used > self.world.limits[team] + CPU_TOLERANCE:
-            self.record_violation("quota", f"{team} uses {used} with {name}")
+            self.record_violation("quota", f"{team} uses {used} of {self.world.limits[team]} cores with {name}")
 
     def _check_start_time(self, name: str) -> None:
         job, now = job_of(name), self.world.now()
@@ -121,27 +123,27 @@
             self.record_violation("begun_late", f"{name} after {now - self.submitted_at[job]:.0f} s")
 
     def commands_sent(self, src: str, commands: list[dict]) -> None:
-        """Check the commands that a controller sends, at the moment of sending.
+        """Check the commands that a controller sends, at the time of sending.
 
-        A command that is late on its way is no fault of its sender. A start of what was cancelled longer ago than the
-        sender may go on without contact is.
+        A command that the network delays does not break the rule. A start command breaks it if its job was cancelled
+        longer ago than a controller may continue without contact.
         """
         now = self.world.now()
         for command in commands:
             cancelled_at = self.cancelled_at.get(job_of(command["piece"]))
             if command["verb"] == "start" and cancelled_at is not None and now - cancelled_at > CONTROLLER_LEASE_S:
-                note = f"{command['piece']} by {src}, {now - cancelled_at:.1f} s after"
+                note = f"{command['piece']} by {src}, {now - cancelled_at:.1f} s after its cancellation"
                 self.record_violation("started_cancelled", note)
 
     def sweep(self) -> None:
-        """Check that no task runs longer after its cancellation than allowed."""
+        """Check that no task runs for longer than `cancel_s` after its cancellation."""
         for job, cancelled_at in self.cancelled_at.items():
             if self.world.now() - cancelled_at > self.world.cancel_s:
                 for name, machines in self.running_on.items():
                     if machines and job_of(name) == job:
                         self.record_violation("ran_cancelled", f"{name} still on {machines}")
 
-    # -- answers to users
+    # -- responses to users
 
     def answered(
         self,
@@ -153,15 +155,15 @@
         submitting: bool = False,
         asked_at: float | None = None,
     ) -> None:
-        """Check an answer to a user.
+        """Check a response to a user.
 
-        `before` is the last final state that anybody was told when the question was sent. What others were told while
-        it was on its way says nothing of its answer, but no two final states may differ.
+        `before` is the last final state that any user had received when the request was sent. Final states received
+        while the request was in flight don't constrain its response, but no two final states may differ.
         """
         if status in (200, 201):
             self._check_accepted(job, state, before, asked_at)
         elif job in self.accepted and (status == 404 or (submitting and status in (400, 422))):
-            self.record_violation("forgotten", f"{job}: {status}")
+            self.record_violation("forgotten", f"{job}: accepted before, now status {status}")
 
     def _check_accepted(self, job: str, state: str | None, before: str | None, asked_at: float | None) -> None:
         if job not in self.submitted:
@@ -173,9 +175,9 @@
         if state in ("pending", "running"):
             self._check_orphaned(job, upstream - {job}, asked_at)
         if state == "cancelled" and not {job, *upstream} & self.cancel_asked:
-            self.record_violation("went_back", f"{job} cancelled by nobody")
+            self.record_violation("went_back", f"{job} is cancelled, but no user cancelled it or an upstream job")
         if before is not None and state != before:
-            self.record_violation("went_back", f"{job}: {before}, now {state}")
+            self.record_violation("went_back", f"{job}: was {before}, now {state}")
         if state in FINAL_STATES:
             self._check_final(job, state)
 
@@ -187,7 +189,7 @@
             self.cancelled_at.setdefault(job, self.world.now())
 
     def _check_orphaned(self, job: str, upstream: set[str], asked_at: float | None) -> None:
-        """Check an answer that says a job may still run, by the moment of the question: it may have been on its way."""
+        """Check a response that reports a job as unfinished, as of the time of its request: it may be late."""
         now = self.world.now() if asked_at is None else asked_at
         for other in sorted(upstream):
             if other in self.cancelled_at and now - self.cancelled_at[other] > self.world.cancel_s:
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -1,4 +1,4 @@
-"""Users of the simulated world: they submit jobs, ask what became of them, and cancel."""
+"""Users of the simulated world, who submit, query and cancel jobs."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 REQUEST_TIMEOUT_S = 5.0
 RETRY_S = 1.0
-MAX_SUBMISSIONS, MAX_CANCELLATIONS = 40, 120  # how often a user repeats a request
-RUN_TIME_S = (1.0, 10.0)  # of the tasks of a job, unless a test sets it
+MAX_SUBMISSIONS, MAX_CANCELLATIONS = 40, 120  # the maximum number of attempts of a user
+RUN_TIME_S = (1.0, 10.0)  # bounds of the random run time of a job's tasks, unless a test sets it
 ACCEPTED, REFUSED = (200, 201), (400, 422)
 
 
@@ -24,7 +24,7 @@
     """The part of the world that acts as its users; its state is set up by `World`.
 
     Attributes:
-        durations: the run time in seconds by job, or by task where the tasks of a job differ.
+        durations: the run time in seconds of the tasks by job, or by task if the tasks of a job differ.
 
     """
 
@@ -35,7 +35,7 @@
     rules: Rules
 
     def now(self) -> float:
-        """Return the simulated time."""
+        """Return the simulated time in seconds."""
         raise NotImplementedError
 
     async def send(self, src: str, addr: str, method: str, path: str, body: bytes | None, timeout: float) -> Response:
@@ -43,7 +43,7 @@
         raise NotImplementedError
 
     def job(self, number: int, **more: Any) -> dict:
-        """Make up a job and a run time for it; `more` are fields of the protocol."""
+        """Create a job with a random run time; `more` sets fields of the protocol."""
         spec = {
             "id": f"run-{number:06d}",
             "lane": "nightly",
@@ -71,7 +71,7 @@
         return spec
 
     async def ask(self, method: str, path: str, body: dict | None = None, label: str | None = None) -> tuple[int, dict]:
-        """Send one request to the controller `label` or any; return its status, 0 without an answer, and its body."""
+        """Send one request to the controller `label` or any; return status and body, 0 and {} without a response."""
         label = label or self.random.choice(self.labels)
         data = None if body is None else msgspec.msgpack.encode(body)
         try:
@@ -83,7 +83,7 @@
     async def ask_checked(
         self, job: str, method: str, path: str, body: dict | None = None, label: str | None = None
     ) -> tuple[int, str | None]:
-        """Send one request about a job and have the answer checked; return its status and the state of the job."""
+        """Send one request about a job and check the response; return its status and the state of the job."""
         before, asked_at = self.rules.final_states.get(job), self.now()
         status, value = await self.ask(method, path, body, label)
         state = value.get("status")
@@ -92,7 +92,7 @@
         return status, state
 
     async def submit(self, spec: dict) -> bool:
-        """Submit a job, again and again until it is accepted or refused; return whether it was accepted."""
+        """Submit a job, with retries until it is accepted or refused; return whether it was accepted."""
         self.rules.submitted.add(spec["id"])
         self.rules.submitted_at.setdefault(spec["id"], self.now())
         for _ in range(MAX_SUBMISSIONS):
@@ -105,7 +105,7 @@
         return False
 
     async def follow(self, spec: dict, cancel_after: float | None = None) -> str | None:
-        """Submit a job and poll it until it has ended, cancelling after so many seconds; None if it was refused."""
+        """Submit a job and poll it until it ends; cancel it after `cancel_after` seconds; None if it was refused."""
         if not await self.submit(spec):
             return None
         job, started_at = spec["id"], self.now()
@@ -120,7 +120,7 @@
             await asyncio.sleep(1.0 if cancel_after else 2.5)
 
     async def cancel_job(self, job: str, label: str | None = None) -> str | None:
-        """Cancel a job, again and again until the answer says what became of it."""
+        """Cancel a job, with retries until a controller responds; return the state in the response, if any."""
         self.rules.cancel_asked.add(job)
         for _ in range(MAX_CANCELLATIONS):
             status, state = await self.ask_checked(job, "POST", f"/api/jobs/{job}/cancel", label=label)
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in for a machine and its worker, by the protocol; times are seconds of simulated time."""
+"""A stand-in for a machine and its worker that implements their protocol; times are in simulated seconds."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 if TYPE_CHECKING:
     from tests.simulation.world import World
 
-PULL_S = 0.3  # from a start command until the image is there
+PULL_S = 0.3  # the duration of an image pull
 POLL_S = 0.1
 HEARTBEAT_TIMEOUT_S = 4.0
-HEARTBEAT_JITTER = (0.75, 1.25)  # of the heartbeat interval
+HEARTBEAT_JITTER = (0.75, 1.25)  # bounds of the random factor of the heartbeat interval
 MIN_HEARTBEAT_PAUSE_S = 0.5
 RETRY_S = 1.0
 REDIRECT_S = 0.2
-PULLING, RUNNING, SAVING, ENDED = "pulling", "running", "saving", "ended"  # states of a task, as heartbeats say them
+PULLING, RUNNING, SAVING, ENDED = "pulling", "running", "saving", "ended"  # task states as encoded in heartbeats
 
 
 @dataclass
 class Task:
-    """One attempt of a task on a machine. `kept`: whether a checkpoint was written before it was stopped."""
+    """One attempt of a task on a machine. `kept`: whether a checkpoint was written before the task was stopped."""
 
     name: str
     attempt: int
@@ -41,7 +41,7 @@
         return self.name.rpartition("/")[0]
 
     def status_message(self) -> dict[str, Any]:
-        """Return what a heartbeat says of the task."""
+        """Return the status of the task as a part of a heartbeat."""
         message: dict[str, Any] = {"piece": self.name, "try": self.attempt, "status": self.status}
         if self.cause is not None:
             message |= {"cause": self.cause, "kept": self.kept}
@@ -53,14 +53,14 @@
     """A machine, from its provisioning to its end.
 
     Attributes:
-        up_at: when it has booted.
-        token: the newest fencing token that the worker has been shown.
-        lease_from: when the heartbeat was sent whose answer renewed the worker's lease last.
-        hung: whether nothing is executed, as if the machine were frozen; tests set and clear it.
-        warning_until: when a spot machine will be reclaimed, once the cloud has given notice.
+        up_at: the time at which the machine has booted.
+        token: the highest fencing token that the worker has received.
+        lease_from: the sending time of the last heartbeat whose response renewed the worker's lease.
+        hung: whether the machine executes nothing, as if frozen; tests set and clear it.
+        warning_until: the time at which a spot machine will be reclaimed, once the cloud has given notice.
         reclaimed: whether the cloud has taken the spot machine away.
-        controller: the index of the controller that the worker talks to.
-        changed: set when the next heartbeat should not wait for its time.
+        controller: the index of the controller to which the worker sends heartbeats.
+        changed: set when the next heartbeat should be sent before its interval has passed.
 
     """
 
@@ -92,7 +92,7 @@
 
     @property
     def vcpus(self) -> float:
-        """The cores of the machine's type."""
+        """The number of CPU cores of the machine's type."""
         return self.world.cloud.machine_type(self.type)["vcpus"]
 
     def unfinished_tasks(self) -> list[Task]:
@@ -102,19 +102,19 @@
     # -- the end of the machine
 
     def release(self) -> None:
-        """Be terminated at a controller's request; the capacity is free again."""
+        """Terminate the machine at a controller's request and return its capacity to the cloud."""
         if not self.released:
             self.released = True
             self.world.cloud.left[self.zone, self.spot] += 1
             self.clear_tasks()
 
     def die(self) -> None:
-        """Fail for good."""
+        """Fail permanently."""
         self.dead_at = self.world.now()
         self.clear_tasks()
 
     def reclaim(self) -> None:
-        """Be taken away by the cloud."""
+        """Let the cloud reclaim the spot machine."""
         self.reclaimed = True
         self.clear_tasks()
 
@@ -126,11 +126,11 @@
     # -- tasks
 
     def step(self) -> None:
-        """Let time pass: the lease may end, and tasks start and end."""
+        """Process the time that has passed: expire the lease, start and end tasks."""
         now = self.world.now()
         if not self.alive or self.up_at > now:
             return
-        # A hung machine executes nothing; once its lease has expired it will never go on with its tasks.
+        # A hung machine executes nothing; once its lease has expired, it will never continue its tasks.
         if now - self.lease_from > self.world.lease_s:
             self.clear_tasks()
             self.incarnation += 1
@@ -167,7 +167,7 @@
     # -- commands
 
     async def commands(self, body: bytes) -> tuple[int, dict]:
-        """POST /orders: execute a controller's commands, unless its token is fenced or they mean another incarnation."""
+        """POST /orders: execute commands, unless their token is fenced or they are meant for another incarnation."""
         while self.hung:
             await asyncio.sleep(POLL_S)
         self.step()
@@ -184,7 +184,7 @@
         self.execute(message["orders"])
 
     def execute(self, commands: list[dict]) -> None:
-        """Execute commands whose token has been checked."""
+        """Execute commands whose fencing token has already been checked."""
         for command in commands:
             key = (command["piece"], command["try"])
             task = self.tasks.get(key)
@@ -211,7 +211,7 @@
         self.changed.set()
 
     def _stop(self, task: Task, grace_s: float) -> None:
-        """Stop a task, after a checkpoint if it writes any and the grace period is long enough."""
+        """Stop a task; write a checkpoint first if the task has checkpoints and the grace period is long enough."""
         spec = self.world.jobs[task.job]
         if task.status == RUNNING and spec["marker_s"] and grace_s >= spec["stow_s"]:
             task.status, task.ends_at = SAVING, self.world.now() + spec["stow_s"]
@@ -253,7 +253,7 @@
                 await self._pause(pause_s)
 
     async def _send_heartbeat(self) -> float | None:
-        """Return the seconds until the next heartbeat; None if the machine hung or ended before the answer came."""
+        """Return the seconds until the next heartbeat; None if the machine hung or ended before the response."""
         world = self.world
         sent_at, incarnation = world.now(), self.incarnation
         front = f"front:{world.labels[self.controller]}"
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -1,6 +1,6 @@
 """The simulated world: real controllers, and stand-ins for everything around them, in one process.
 
-Controllers run as in production but for their transport, clock and random generator. Time is simulated
+Controllers run as in production except for their transport, clock and random generator. Time is simulated
 (`tests.simulation.loop`), and every random choice comes from one seeded generator, so a seed always gives the same run.
 """
 
@@ -24,11 +24,11 @@
 from tests.simulation.rules import Rules
 from tests.simulation.worker import Machine
 
-STEP_S = 0.1  # how often machines are moved on
-STEPS_PER_SWEEP = 10  # how often the cloud's list is noted and cancelled jobs are looked for
+STEP_S = 0.1  # the interval at which machines are stepped
+STEPS_PER_SWEEP = 10  # steps between snapshots of the cloud's list and checks of cancelled jobs
 MAX_CLOCK_DRIFT = 0.0005
 WALL_CLOCK_OFFSET_S = 1.7e9
-BOOT_TIME_JITTER = (0.6, 1.5)  # of the time that the cloud states
+BOOT_TIME_JITTER = (0.6, 1.5)  # bounds of the random factor of the boot time that the cloud states
 
 SETTINGS = """
 label = "{label}"
@@ -77,25 +77,25 @@
 
 
 class World(RecoveryChecks):
-    """Controllers, stand-ins, network and users together; it is running once it is made.
+    """Controllers, stand-ins, network and users together; the constructor starts them.
 
     Args:
-        seed: of the one random generator.
-        zones: how many zones there are; controllers are spread over them in turn.
+        seed: the seed of the single random generator.
+        zones: the number of zones; controllers are assigned to them round-robin.
         noise: the fraction of messages that are dropped, delayed past their time limit, or repeated late.
-        capacity: how many spot machines, and as many on-demand ones, the cloud has in each zone.
+        capacity: the number of spot machines, and also of on-demand machines, that the cloud has in each zone.
         scale: the factor by which the quotas of the two teams are multiplied.
         coming_limits: whether the settings announce lower limits of the key-value store.
-        old: controllers that begin as production's version.
-        cpu: the fraction of a core that each controller is told it has.
-        operator: the operators' settings of every controller.
-        controllers: how many there are.
+        old: the labels of the controllers that start as production's version.
+        cpu: the number of cores of each controller according to its settings.
+        operator: the operators' settings of all controllers.
+        controllers: the number of controllers.
 
     """
 
-    # Of the protocol, in seconds.
+    # Parameters of the protocol, in seconds, as in `SETTINGS`.
     report_s, lease_s, cancel_s, list_lag_s = 2.0, 8.0, 30.0, 3.0
-    strikes_shard_owner = False  # whether faults of one controller hit a shard owner, not the leader
+    strikes_shard_owner = False  # whether faults of one controller target a shard owner instead of the leader
 
     def __init__(
         self,
@@ -112,7 +112,7 @@
         controllers: int = 3,
     ) -> None:
         self.operator = operator or OperatorSettings()
-        self.unreadable_met: list[str] = []  # keys that a controller of production's version could not read
+        self.unreadable_met: list[str] = []  # keys that production's version could not read
         self.cpu = cpu
         self.coming_limits = coming_limits
         self.old = set(old)
@@ -144,7 +144,7 @@
         return self.loop.time()
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Start a task that ends with the world."""
+        """Start a background task, which is cancelled at the end of the run."""
         task = asyncio.ensure_future(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -164,7 +164,7 @@
     # -- controllers
 
     def start(self, label: str) -> None:
-        """Start a controller's process, as production's version if it is an old one."""
+        """Start a controller, as production's version if its label is in `old`."""
         platform = parse_platform(self.settings_text(label, self.peers_text(label)))
         drift = 1 + self.random.uniform(0, MAX_CLOCK_DRIFT)
         clock = Clock(lambda: self.now() * drift, lambda: WALL_CLOCK_OFFSET_S + self.now())
@@ -175,7 +175,7 @@
         self.controllers[label] = controller, asyncio.ensure_future(controller.run())
 
     def peers_text(self, label: str) -> str:
-        """Return the peers of a controller as its settings name them."""
+        """Return the peers section of a controller's settings."""
         return "".join(
             PEER.format(label=other, zone=self.home[other], number=number)
             for number, other in enumerate(self.labels, start=1)
@@ -197,7 +197,7 @@
         )
 
     def crash(self, label: str) -> None:
-        """End a controller's process, if it runs, in the midst of what it does."""
+        """Kill a controller, if it runs, without a graceful shutdown."""
         controller, task = self.controllers.pop(label, (None, None))
         if controller is None:
             return
@@ -209,7 +209,7 @@
             shard.close()
 
     async def restart(self, label: str, after: float, upgrade: bool = False) -> None:
-        """End a controller's process and start it again after so many seconds, upgraded or as it was."""
+        """Kill a controller and start it after `after` seconds; with `upgrade`, start it as the new version."""
         self.crash(label)
         if upgrade:
             self.old.discard(label)
@@ -220,13 +220,13 @@
     # -- the key-value store
 
     def lower_store_limits(self) -> None:
-        """Have the key-value store take the announced lower limits without notice."""
+        """Let the key-value store enforce the announced lower limits from now on, without notice."""
         self.state.value_bytes, self.state.txn_ops = 2 * 1024, 4
 
     # -- machines
 
     def boot(self, type_name: str, zone: str, spot: bool) -> str:
-        """Start a machine; return its name at once, while it boots."""
+        """Start a machine and return its name at once, before it has booted."""
         self.cloud.number += 1
         number = self.cloud.number
         name = f"m-{number:06d}"
