--- a/tests/simulation/cloud.py
+++ b/tests/simulation/cloud.py
@@ -88,7 +88,7 @@
             "yard": machine.zone,
             "loaners": machine.spot,
             "status": status,
-            "held_s": now - machine.born,
+            "held_s": now - machine.provisioned_at,
         }
 
     async def handle(self, src: str, method: str, path: str, body: bytes) -> Answer:
--- a/tests/simulation/commit_history.py
+++ b/tests/simulation/commit_history.py
@@ -56,9 +56,9 @@
         check = _PlacementOrder(self.bulk_class)
         for put in self.commits:
             if put.key.startswith(keys.ZONES) and _is_verdict(put.value):
-                check.zone_judged(put)
+                check.apply_verdict(put)
             if put.key.startswith(keys.JOBS) and _is_plain_job(put.value):
-                check.job_committed(put)
+                check.apply_job(put)
         return check.violations
 
     def first_replacements(self, zone: str) -> list[str]:
@@ -127,30 +127,30 @@
         self._attempts: dict[str, int] = {}
         self.violations: list[str] = []
 
-    def zone_judged(self, put: CommittedPut) -> None:
+    def apply_verdict(self, put: CommittedPut) -> None:
         if put.value["health"] == "lost":
             self._lost_at = put.at
         elif put.value["health"] != "recovering":
             self._lost_at = None
 
-    def job_committed(self, put: CommittedPut) -> None:
+    def apply_job(self, put: CommittedPut) -> None:
         job, record, spec = put.key.removeprefix(keys.JOBS), put.value, put.value["spec"]
         newest = _newest_attempt(record)
         is_placed = newest > self._attempts.get(job, 0)
         self._attempts[job] = max(newest, self._attempts.get(job, 0))
         has_missing_tasks = _has_missing_tasks(record)
         if spec["shape"] == "service" or spec.get("due_s"):
-            self._essential_job(job, put, has_missing_tasks)
+            self._track_essential_job(job, put, has_missing_tasks)
         elif is_placed and spec["lane"] == self._bulk_class:
-            self._bulk_placed(job, put)
+            self._check_bulk_placement(job, put)
 
-    def _essential_job(self, job: str, put: CommittedPut, has_missing_tasks: bool) -> None:
+    def _track_essential_job(self, job: str, put: CommittedPut, has_missing_tasks: bool) -> None:
         if has_missing_tasks and put.value.get("phase", "open") == "open":
             self._missing_since.setdefault(job, put.at)
         else:
             self._missing_since.pop(job, None)
 
-    def _bulk_placed(self, job: str, put: CommittedPut) -> None:
+    def _check_bulk_placement(self, job: str, put: CommittedPut) -> None:
         if self._lost_at is None:
             return
         waiting = [other for other, since in self._missing_since.items() if put.at - max(since, self._lost_at) > SEEN_S]
--- a/tests/simulation/kvstore.py
+++ b/tests/simulation/kvstore.py
@@ -91,7 +91,7 @@
             for key in attached:
                 self._delete(key)
 
-    def over_limit(self, asked: dict) -> str:
+    def exceeded_limit(self, asked: dict) -> str:
         """Return the limit of the protocol that a transaction exceeds, or an empty text; sizes are those as JSON."""
         writes = asked.get("writes") or []
         if len(writes) > self.txn_ops:
@@ -143,7 +143,7 @@
         return 200, {"hold": lease}
 
     def _commit(self, asked: dict) -> Answer:
-        broken = self.over_limit(asked)
+        broken = self.exceeded_limit(asked)
         if broken:
             self.refused_commits.append(broken)
             return 400, {"error": broken}
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -25,7 +25,7 @@
     from tests.simulation.worker import Machine
 
 # Hosts and groups of hosts that partitions name, in addition to controller labels and machine names.
-STORE, CLOUD, WORKERS, EVERYBODY = "state", "cloud", "workers", "*"
+STORE, CLOUD, WORKERS, ALL_HOSTS = "state", "cloud", "workers", "*"
 STORE_ADDRESS, CLOUD_ADDRESS = "10.2.0.1:2379", "10.2.0.2:8443"
 USER_ADDRESS_PREFIX, CONTROLLER_ADDRESS_PREFIX = "front:", "10.0.0."
 MACHINE_PREFIX = "m-"
@@ -100,7 +100,7 @@
         self.faults.held_messages.clear()
 
     def _is_cut(self, src: str, host: str) -> bool:
-        pairs = {(src, host), (src, EVERYBODY), (EVERYBODY, host)}
+        pairs = {(src, host), (src, ALL_HOSTS), (ALL_HOSTS, host)}
         if src.startswith(MACHINE_PREFIX):
             pairs.add((WORKERS, host))
         if host.startswith(MACHINE_PREFIX):
--- a/tests/simulation/production.py
+++ b/tests/simulation/production.py
@@ -15,12 +15,12 @@
 from tests.simulation.link import Link
 
 STORE_ADDRESS = "10.2.0.1:2379"
-NOBODYS_LEASE = 1
+UNOWNED_LEASE = 1
 UNKNOWN_PREFIXES = ("cp/wait/", "cp/format", "cp/rollout")  # keys that production neither reads nor writes
 RECORD_TYPES = {"cp/job/": messages.JobRecord, "cp/node/": messages.NodeRecord}
 
 
-def as_production(key: str, value: Any) -> Any:
+def convert_for_production(key: str, value: Any) -> Any:
     """Return the value without the fields that production does not know; None if production can't read it."""
     for prefix, record_type in RECORD_TYPES.items():
         if key.startswith(prefix):
@@ -56,14 +56,14 @@
         for write in asked["writes"]:
             if "put" in write:
                 assert not write["put"].startswith(UNKNOWN_PREFIXES), f"production never writes {write['put']}"
-                write["value"] = as_production(write["put"], write["value"])
+                write["value"] = convert_for_production(write["put"], write["value"])
         return msgspec.msgpack.encode(asked)
 
     def _answer(self, body: bytes) -> bytes:
         found = msgspec.msgpack.decode(body)
         if str(found.get("path", "")).startswith("cp/node/") and found["value"]["lease"] == 0:
             # Production attributes any record under its key to a former process, and revokes the lease in the record.
-            found["value"]["lease"] = NOBODYS_LEASE
+            found["value"]["lease"] = UNOWNED_LEASE
         if "rows" in found:
             found["rows"] = [row for row in found["rows"] if self._is_readable(row, "path")]
         if "log" in found:
@@ -74,7 +74,7 @@
         """Convert the value for production; return whether production reads it, and record unreadable keys."""
         if row[key].startswith(UNKNOWN_PREFIXES):
             return False
-        row["value"] = as_production(row[key], row["value"])
+        row["value"] = convert_for_production(row[key], row["value"])
         if row["value"] is None:
             self.world.unreadable_met.append(row[key])
         return row["value"] is not None
--- a/tests/simulation/recovery.py
+++ b/tests/simulation/recovery.py
@@ -30,7 +30,7 @@
             waiting = [job for job in waiting if not self.has_started(job) and not self.is_blocked(job)]
         for job in waiting:
             self.rules.record_violation("forgotten", f"{job} was accepted and does not run after {within_s:.0f} s")
-        await self._check_nobody_starves(until)
+        await self._check_no_task_starves(until)
 
     async def _check_known(self, job: str, label: str, until: float) -> None:
         while True:
@@ -42,7 +42,7 @@
                 return
             await asyncio.sleep(POLL_S)
 
-    async def _check_nobody_starves(self, since: float) -> None:
+    async def _check_no_task_starves(self, since: float) -> None:
         """Check that no task waits too long although a machine has capacity and its team is below its quota."""
         waiting_since: dict[str, float] = {}
         while self.now() < since + OBSERVATION_S or (
--- a/tests/simulation/rollout_model.py
+++ b/tests/simulation/rollout_model.py
@@ -113,7 +113,7 @@
             if not self.history or self.history[-1] != record:
                 self.history.append(record)
 
-    def _commit_perhaps_late(self, transaction: Transaction, late: bool) -> None:
+    def _commit_or_delay(self, transaction: Transaction, late: bool) -> None:
         if late:
             self.late.append(transaction)
         else:
@@ -272,7 +272,7 @@
             self._write(process, job, late)
         outcome = steps.next_step(current, facts, directives)
         if isinstance(outcome, steps.Step):
-            self._commit_perhaps_late(StepCommits(watch_cache, committed, TXN_OPS).commit(leader[1], outcome), late)
+            self._commit_or_delay(StepCommits(watch_cache, committed, TXN_OPS).commit(leader[1], outcome), late)
 
     def _unconverted_jobs(self, watch_cache: WatchCache, current: RolloutRecord, since: ModRevision) -> list[str]:
         compact = watch_cache.compact_jobs
@@ -301,7 +301,7 @@
         else:
             compact_allowed = process.program == UNAWARE and process.committed.announced() >= 1
             value = stored(view.record, MAX_PLAIN_BYTES, compact_allowed=compact_allowed)
-        self._commit_perhaps_late(Transaction(conditions, [Put(keys.job(job), value)]), late)
+        self._commit_or_delay(Transaction(conditions, [Put(keys.job(job), value)]), late)
 
     @precondition(lambda self: self.late)
     @rule(number=st.integers(0, 20))
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -145,7 +145,7 @@
 
     # -- responses to users
 
-    def answered(
+    def check_response(
         self,
         job: str,
         status: int,
--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -231,7 +231,7 @@
     assert "begun_late" in run(play())
 
 
-async def machines_receive_nothing_from_then_on(world: World) -> None:
+async def machines_stop_receiving(world: World) -> None:
     """Partition the inbound side of every live machine from 14 s on; the cloud is down for the first 20 s of this."""
     await asyncio.sleep(14)
     world.cloud.down = True
@@ -242,7 +242,7 @@
 
 def test_work_left_on_a_machine_that_receives_nothing_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """A controller that takes heartbeats alone as evidence of health leaves tasks on unreachable machines."""
-    assert not broken(machines_receive_nothing_from_then_on)
+    assert not broken(machines_stop_receiving)
     real = machines.Machine.apply
 
     def trusting(self, *args, **options) -> None:
@@ -253,7 +253,7 @@
     monkeypatch.setattr(probing.Prober, "start_probe", lambda self, machine: None)
     monkeypatch.setattr(heartbeat_processor, "MAX_UNACKNOWLEDGED_RESPONSES", 10**9)
     monkeypatch.setattr(liveness, "MAX_UNACKNOWLEDGED_RESPONSES", 10**9)
-    assert "forgotten" in broken(machines_receive_nothing_from_then_on)
+    assert "forgotten" in broken(machines_stop_receiving)
 
 
 async def cancelled_while_shard_owner_is_isolated(world: World) -> None:
--- a/tests/simulation/test_start_faults.py
+++ b/tests/simulation/test_start_faults.py
@@ -69,7 +69,7 @@
     successor_crashes: bool = False
 
 
-async def owner_loses_the_store(world: World, loss: StoreLoss) -> None:
+async def cut_owner_off_from_store(world: World, loss: StoreLoss) -> None:
     """Cut only the shard owner off from the key-value store; the slow starter is the next owner of the shard."""
     owner = shard_owner(world)
     for label in world.labels:
@@ -91,7 +91,7 @@
     await asyncio.sleep(30.0)
 
 
-def play_store_loss(seed: int, loss: StoreLoss) -> World:
+def run_store_loss(seed: int, loss: StoreLoss) -> World:
     """Run a service whose shard moves to the slow starter; return the world, which holds the rule violations."""
 
     async def main() -> World:
@@ -100,7 +100,7 @@
         await world.submit(service(world))
         await asyncio.sleep(40.0)
         assert world.slow not in (leader(world), shard_owner(world)), f"seed {seed}: {world.slow} already has a role"
-        await owner_loses_the_store(world, loss)
+        await cut_owner_off_from_store(world, loss)
         return world
 
     return run(main())
@@ -110,7 +110,7 @@
 # owner nor the workers that still have a lease from it. Seen on Seoul's day "apart".
 @pytest.mark.parametrize("seed", range(6))
 def test_no_task_runs_twice_if_the_next_owner_loaded_during_the_first_assignments(seed: int) -> None:
-    check(play_store_loss(seed, StoreLoss()))
+    check(run_store_loss(seed, StoreLoss()))
 
 
 # The same fault, with other ways in which the former owner loses the store and the next one takes over.
@@ -127,4 +127,4 @@
     ],
 )
 def test_no_task_runs_twice_however_the_former_owner_loses_the_store(seed: int, loss: StoreLoss) -> None:
-    check(play_store_loss(seed, loss))
+    check(run_store_loss(seed, loss))
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -88,7 +88,7 @@
         status, value = await self.ask(method, path, body, label)
         state = value.get("status")
         submitting = path == "/api/jobs"
-        self.rules.answered(job, status, state, before=before, submitting=submitting, asked_at=asked_at)
+        self.rules.check_response(job, status, state, before=before, submitting=submitting, asked_at=asked_at)
         return status, state
 
     async def submit(self, spec: dict) -> bool:
--- a/tests/simulation/worker.py
+++ b/tests/simulation/worker.py
@@ -70,7 +70,7 @@
     type: str
     zone: str
     spot: bool
-    born: float
+    provisioned_at: float
     up_at: float
     incarnation: int = 1
     sequence: int = 0
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -238,7 +238,7 @@
             type=type_name,
             zone=zone,
             spot=spot,
-            born=self.now(),
+            provisioned_at=self.now(),
             up_at=self.now() + boot_s,
         )
         self.machines[name] = machine
