--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -30,7 +30,9 @@
 from tests.simulation.world import World
 
 
-def broken(fault: Scenario | None = None, zones: int = 1, seed: int = 5, jobs: int = 12, **more: Any) -> set[str]:
+def violated_rules(
+    fault: Scenario | None = None, zones: int = 1, seed: int = 5, jobs: int = 12, **more: Any
+) -> set[str]:
     """Simulate a day and return the names of the rules that were broken."""
 
     async def play() -> set[str]:
@@ -60,17 +62,17 @@
         real(self, zone, token, dataclasses.replace(services, limits=limits), may_start)
 
     monkeypatch.setattr(shard_owner.Shard, "__init__", eager)
-    assert "ran_twice" in broken(machines_partitioned)
+    assert "ran_twice" in violated_rules(machines_partitioned)
 
 
 def test_quota_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(quotas, "affordable", lambda record, cpus, gpus, most: most)
-    assert "quota" in broken(jobs=24, capacity=20)
+    assert "quota" in violated_rules(jobs=24, capacity=20)
 
 
 def test_wrong_place_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(capacity, "matches_constraints", lambda spec, type_name, zone, spot: True)
-    assert "wrong_place" in broken(zones=2)
+    assert "wrong_place" in violated_rules(zones=2)
 
 
 def test_ran_cancelled_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -81,7 +83,7 @@
         return [o for o in commands if o.op != "stop"], acknowledgements
 
     monkeypatch.setattr(task_reconciler.TaskReconciler, "due_commands", never_stopping)
-    assert "ran_cancelled" in broken()
+    assert "ran_cancelled" in violated_rules()
 
 
 def test_not_done_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -89,7 +91,7 @@
     monkeypatch.setattr(
         records, "exit_tasks", lambda ended: real([msgspec.structs.replace(e, done=True) for e in ended])
     )
-    assert "not_done" in broken(shard_owner_partitioned) | broken(stop_all_tasks)
+    assert "not_done" in violated_rules(shard_owner_partitioned) | violated_rules(stop_all_tasks)
 
 
 async def stop_all_tasks(world: World) -> None:
@@ -160,7 +162,7 @@
 def test_accepted_job_that_never_runs_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """Controllers accept a job and never place its tasks."""
     monkeypatch.setattr(shard_owner.Shard, "place", lambda self, queued_jobs, headroom: None)
-    assert "forgotten" in broken(jobs=4)
+    assert "forgotten" in violated_rules(jobs=4)
 
 
 def test_starved_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -242,7 +244,7 @@
 
 def test_work_left_on_a_machine_that_receives_nothing_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """A controller that takes heartbeats alone as evidence of health leaves tasks on unreachable machines."""
-    assert not broken(machines_stop_receiving)
+    assert not violated_rules(machines_stop_receiving)
     real = machines.Machine.apply
 
     def trusting(self, *args, **options) -> None:
@@ -253,7 +255,7 @@
     monkeypatch.setattr(probing.Prober, "start_probe", lambda self, machine: None)
     monkeypatch.setattr(heartbeat_processor, "MAX_UNACKNOWLEDGED_RESPONSES", 10**9)
     monkeypatch.setattr(liveness, "MAX_UNACKNOWLEDGED_RESPONSES", 10**9)
-    assert "forgotten" in broken(machines_stop_receiving)
+    assert "forgotten" in violated_rules(machines_stop_receiving)
 
 
 async def cancelled_while_shard_owner_is_isolated(world: World) -> None:
@@ -270,11 +272,11 @@
 
 def test_shard_owner_that_never_stops_without_contact_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """A controller never considers its own lease expired."""
-    assert not broken(cancelled_while_shard_owner_is_isolated)
+    assert not violated_rules(cancelled_while_shard_owner_is_isolated)
     monkeypatch.setattr(
         controller_lease.ControllerLease, "refresh_state", lambda self: controller_lease.LeaseState.ACTIVE
     )
-    assert "ran_cancelled" in broken(cancelled_while_shard_owner_is_isolated)
+    assert "ran_cancelled" in violated_rules(cancelled_while_shard_owner_is_isolated)
 
 
 async def submit_pair(world: World, upstream_s: float) -> list[dict]:
--- a/tests/simulation/test_overlapping_faults.py
+++ b/tests/simulation/test_overlapping_faults.py
@@ -16,19 +16,19 @@
 NEED_TWO_ZONES = (zone_partitioned, zone_bound_jobs_lose_machines)
 
 
-def name_of(scenario: Scenario) -> str:
+def scenario_name(scenario: Scenario) -> str:
     """Return the test id of a scenario."""
     return scenario.__name__
 
 
-@pytest.mark.parametrize("scenario", OVERLAPPING_FAULTS, ids=name_of)
+@pytest.mark.parametrize("scenario", OVERLAPPING_FAULTS, ids=scenario_name)
 def test_rules_hold_under_overlapping_faults(scenario: Scenario) -> None:
     number = OVERLAPPING_FAULTS.index(scenario)
     zones = 2 if scenario in NEED_TWO_ZONES else 1 + number % 2
     check(play_overlapping_faults(scenario, seed=300 + number, zones=zones))
 
 
-@pytest.mark.parametrize("scenario", FAULTS_OF_ONE_CONTROLLER, ids=name_of)
+@pytest.mark.parametrize("scenario", FAULTS_OF_ONE_CONTROLLER, ids=scenario_name)
 def test_rules_hold_under_overlapping_faults_of_the_shard_owner(scenario: Scenario) -> None:
     number = FAULTS_OF_ONE_CONTROLLER.index(scenario)
     check(play_overlapping_faults(scenario, seed=400 + number, zones=1 + number % 2, strikes_shard_owner=True))
