--- a/tests/kvstore/test_controller_lease.py
+++ b/tests/kvstore/test_controller_lease.py
@@ -254,7 +254,7 @@
     world.state.revision += 1
     world.state.items[key] = ({}, world.state.revision, None)
     world.state.log.append({"put": key, "value": {}, "stamp": world.state.revision})
-    world.state.news.set()
+    world.state.changed.set()
     return ModRevision(world.state.revision)
 
 
--- a/tests/simulation/kvstore.py
+++ b/tests/simulation/kvstore.py
@@ -33,7 +33,7 @@
         down: whether there is an outage: watches hang, all other requests are refused.
         refused_clients: labels of controllers whose requests alone are refused.
         refused_commits: descriptions of the limits that transactions exceeded.
-        news: set when a change is committed, to wake up waiting watches.
+        changed: set when a change is committed, to wake up waiting watches.
         value_bytes, txn_ops: the limits of the size of a value and of the number of changes in a transaction.
 
     """
@@ -46,7 +46,7 @@
         self.log: list[dict] = []
         self.down = False
         self.refused_clients: set[str] = set()
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
         self.puts = 0
         self.value_bytes, self.txn_ops = 8 * 1024, 12
         self.refused_commits: list[str] = []
@@ -167,12 +167,12 @@
         self.puts += 1
         self.items[key] = (value, self.revision, lease)
         self.log.append({"put": key, "value": value, "stamp": self.revision})
-        self.news.set()
+        self.changed.set()
 
     def _delete(self, key: str) -> None:
         if self.items.pop(key, None) is not None:
             self.log.append({"delete": key, "stamp": self.revision})
-            self.news.set()
+            self.changed.set()
 
     async def _watch(self, src: str, asked: dict[str, str]) -> Answer:
         """Return the changes after a revision once there are any or `wait_ms` has passed; hang during an outage."""
@@ -185,10 +185,10 @@
                 events = self._changes_after(after)
                 if events or self.now() >= until:
                     return 200, {"epoch": self.revision, "log": events}
-            self.news.clear()
+            self.changed.clear()
             with suppress(TimeoutError):
                 async with asyncio.timeout(max(shortest_s, min(longest_s, until - self.now()))):
-                    await self.news.wait()
+                    await self.changed.wait()
 
     def _changes_after(self, revision: int) -> list[dict]:
         changes = []
