--- a/tests/rollout/scenarios.py
+++ b/tests/rollout/scenarios.py
@@ -90,7 +90,7 @@
             world.spawn(submit_later(world, wide_job(world, 40 + number), 3.0 + 20.0 * number))
 
     world = play_day(world_of, scenario, wide_jobs, seconds=150.0, jobs=8)
-    assert not world.unreadable_met
+    assert not world.unreadable_keys
     assert not world.state.refused_commits
     return world
 
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -128,7 +128,7 @@
     await asyncio.sleep(10)
     assert world.controllers["c-2"][0].controller_lease.lease is None
     assert world.state.items[keys.node("c-2")][0]["lease"] == NO_LEASE
-    world.unreadable_met.clear()  # it can't be kept from reading, only from joining
+    world.unreadable_keys.clear()  # it can't be kept from reading, only from joining
     world.crash("c-2")
     await upgrade(world, ("c-2",), every_s=6.0)
     assert world.controllers["c-2"][0].controller_lease.lease is not None
--- a/tests/simulation/production.py
+++ b/tests/simulation/production.py
@@ -76,5 +76,5 @@
             return False
         row["value"] = convert_for_production(row[key], row["value"])
         if row["value"] is None:
-            self.world.unreadable_met.append(row[key])
+            self.world.unreadable_keys.append(row[key])
         return row["value"] is not None
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -112,7 +112,7 @@
         controllers: int = 3,
     ) -> None:
         self.operator = operator or OperatorSettings()
-        self.unreadable_met: list[str] = []  # keys that production's version could not read
+        self.unreadable_keys: list[str] = []  # keys that production's version could not read
         self.cpu = cpu
         self.coming_limits = coming_limits
         self.old = set(old)
