--- a/tests/kvstore/test_controller_lease.py
+++ b/tests/kvstore/test_controller_lease.py
@@ -226,7 +226,7 @@
     # The store has to refuse a shard owner, since shard owners answer workers; the leader by itself answers none.
     assert (
         "ran_cancelled"
-        in play_overlapping_faults(leader_refused_then_store_outage, 308, 1, strikes_shard_owner=True).rules.violations
+        in play_overlapping_faults(leader_refused_then_store_outage, 308, 1, targets_shard_owner=True).rules.violations
     )
 
 
--- a/tests/simulation/actions.py
+++ b/tests/simulation/actions.py
@@ -21,7 +21,7 @@
 
 def target_controller(world: World) -> str:
     """Return the label of the controller that the scenario targets: the leader or a shard owner."""
-    return shard_owner(world) if world.strikes_shard_owner else leader(world)
+    return shard_owner(world) if world.targets_shard_owner else leader(world)
 
 
 def other_controllers(world: World, label: str) -> list[str]:
--- a/tests/simulation/overlapping_faults.py
+++ b/tests/simulation/overlapping_faults.py
@@ -344,13 +344,13 @@
 ]
 
 
-def play_overlapping_faults(scenario: Scenario, seed: int, zones: int, *, strikes_shard_owner: bool = False) -> World:
-    """Simulate a day with a scenario that targets the leader or, with `strikes_shard_owner`, a shard owner."""
+def play_overlapping_faults(scenario: Scenario, seed: int, zones: int, *, targets_shard_owner: bool = False) -> World:
+    """Simulate a day with a scenario that targets the leader or, with `targets_shard_owner`, a shard owner."""
 
     async def work() -> World:
         # With few cores, the leader and the shard owner are different controllers.
-        world = World(seed=seed, zones=zones, cpu=SMALL_CPU_CORES / 2 if strikes_shard_owner else 1.0)
-        world.strikes_shard_owner = strikes_shard_owner
+        world = World(seed=seed, zones=zones, cpu=SMALL_CPU_CORES / 2 if targets_shard_owner else 1.0)
+        world.targets_shard_owner = targets_shard_owner
         seconds = 140 if scenario is ten_failovers_in_two_minutes else 110
         jobs = 26 if scenario in (backlog_over_slow_links, team_at_its_quota) else 14
         await day(world, scenario, seconds=seconds, jobs=jobs)
--- a/tests/simulation/test_overlapping_faults.py
+++ b/tests/simulation/test_overlapping_faults.py
@@ -31,4 +31,4 @@
 @pytest.mark.parametrize("scenario", FAULTS_OF_ONE_CONTROLLER, ids=scenario_name)
 def test_rules_hold_under_overlapping_faults_of_the_shard_owner(scenario: Scenario) -> None:
     number = FAULTS_OF_ONE_CONTROLLER.index(scenario)
-    check(play_overlapping_faults(scenario, seed=400 + number, zones=1 + number % 2, strikes_shard_owner=True))
+    check(play_overlapping_faults(scenario, seed=400 + number, zones=1 + number % 2, targets_shard_owner=True))
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -95,7 +95,7 @@
 
     # Parameters of the protocol, in seconds, as in `SETTINGS`.
     report_s, lease_s, cancel_s, list_lag_s = 2.0, 8.0, 30.0, 3.0
-    strikes_shard_owner = False  # whether faults of one controller target a shard owner instead of the leader
+    targets_shard_owner = False  # whether faults of one controller target a shard owner instead of the leader
 
     def __init__(
         self,
