--- a/tests/shard/test_former_owners.py
+++ b/tests/shard/test_former_owners.py
@@ -20,8 +20,8 @@
 from cloverplank.shard.shard import Shard
 from tests.simulation.actions import decline_assignments, leader, shard_owner
 from tests.simulation.day import check
-from tests.simulation.link import Link
 from tests.simulation.loop import run
+from tests.simulation.transport import SimulatedTransport
 from tests.simulation.world import World
 
 ZONE = Zone("zone-0")
@@ -40,7 +40,7 @@
         platform = parse_platform(world.settings_text("c-0", world.peers_text("c-0")))
         clock = Clock(world.now, world.now)
         self.controller = Controller(
-            platform, world.operator, clock=clock, http=Link(world, "c-0"), rng=random.Random(1)
+            platform, world.operator, clock=clock, http=SimulatedTransport(world, "c-0"), rng=random.Random(1)
         )
         self.cache = self.controller.watch_cache
         self.controller.controller_lease.lease = OWN_LEASE
--- a/tests/simulation/production.py
+++ b/tests/simulation/production.py
@@ -1,7 +1,7 @@
 """A stand-in for production's version of a controller, for simulated worlds with two versions.
 
-The controller behind the link is of the current version. The link converts its writes to those of production's version,
-and reduces what it reads to what production's version understands.
+The controller behind the transport is of the current version. The transport converts its writes to those of
+production's version, and reduces what it reads to what production's version understands.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from cloverplank.net.messages import Response
 from tests.production import messages
-from tests.simulation.link import Link
+from tests.simulation.transport import SimulatedTransport
 
 STORE_ADDRESS = "10.2.0.1:2379"
 UNOWNED_LEASE = 1
@@ -31,7 +31,7 @@
     return value
 
 
-class ProductionLink(Link):
+class ProductionTransport(SimulatedTransport):
     """Hides the newer version from a controller, and drops the fields that the newer version has added."""
 
     async def request(
--- a/tests/simulation/link.py
+++ b/tests/simulation/transport.py
@@ -10,7 +10,7 @@
     from tests.simulation.world import World
 
 
-class Link:
+class SimulatedTransport:
     """Sends a controller's requests over the simulated network."""
 
     def __init__(self, world: World, label: str) -> None:
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -18,10 +18,10 @@
 from tests.simulation.cloud import Cloud
 from tests.simulation.faults import MessageFaults
 from tests.simulation.kvstore import KeyValueStore
-from tests.simulation.link import Link
-from tests.simulation.production import ProductionLink
+from tests.simulation.production import ProductionTransport
 from tests.simulation.recovery import RecoveryChecks
 from tests.simulation.rules import Rules
+from tests.simulation.transport import SimulatedTransport
 from tests.simulation.worker import Machine
 
 STEP_S = 0.1  # the interval at which machines are stepped
@@ -168,9 +168,9 @@
         platform = parse_platform(self.settings_text(label, self.peers_text(label)))
         drift = 1 + self.random.uniform(0, MAX_CLOCK_DRIFT)
         clock = Clock(lambda: self.now() * drift, lambda: WALL_CLOCK_OFFSET_S + self.now())
-        link = ProductionLink(self, label) if label in self.old else Link(self, label)
+        transport = ProductionTransport(self, label) if label in self.old else SimulatedTransport(self, label)
         controller = Controller(
-            platform, self.operator, clock=clock, http=link, rng=random.Random(self.random.random())
+            platform, self.operator, clock=clock, http=transport, rng=random.Random(self.random.random())
         )
         self.controllers[label] = controller, asyncio.ensure_future(controller.run())
 
