--- a/tests/rollout/test_faults_during_rollout.py
+++ b/tests/rollout/test_faults_during_rollout.py
@@ -9,7 +9,7 @@
 from cloverplank.records.rollout import RolloutPhase
 from tests.rollout.scenarios import CONTROLLERS, committed, play, roll_back, set_goal, stored_compact, wait_for_phase
 from tests.simulation.actions import leader
-from tests.simulation.job_graphs import diamond, end_of, submit_in_turn
+from tests.simulation.job_graphs import diamond, submit_in_turn, wait_for_end
 from tests.simulation.world import World
 
 
@@ -63,7 +63,7 @@
         world.spawn(world.cancel_job(job))
     specs = diamond(world, 200 + 10 * len(world.jobs))
     await submit_in_turn(world, specs)
-    world.spawn(end_of(world, specs[-1]))
+    world.spawn(wait_for_end(world, specs[-1]))
 
 
 @pytest.mark.parametrize(
--- a/tests/simulation/job_graphs.py
+++ b/tests/simulation/job_graphs.py
@@ -30,23 +30,23 @@
         assert await world.submit(spec), spec["id"]
 
 
-async def state_of(world: World, spec: dict) -> str | None:
+async def query_state(world: World, spec: dict) -> str | None:
     """Ask any controller for the state of a job."""
     return (await world.ask_checked(spec["id"], "GET", f"/api/jobs/{spec['id']}"))[1]
 
 
-async def end_of(world: World, spec: dict, within_s: float = 120.0) -> str | None:
+async def wait_for_end(world: World, spec: dict, within_s: float = 120.0) -> str | None:
     """Poll a job until it has ended; return its final state, or None if it has not ended after `within_s`."""
     until = world.now() + within_s
     while world.now() < until:
-        state = await state_of(world, spec)
+        state = await query_state(world, spec)
         if state in ("done", "cancelled"):
             return state
         await asyncio.sleep(1.0)
     return None
 
 
-async def ready(world: World) -> None:
+async def wait_until_ready(world: World) -> None:
     """Wait until every controller is ready for requests."""
     while not all(c.router.ready() for c, _ in world.controllers.values()):
         await asyncio.sleep(0.2)
--- a/tests/simulation/test_dependency_cancellation.py
+++ b/tests/simulation/test_dependency_cancellation.py
@@ -5,19 +5,19 @@
 import asyncio
 
 from tests.simulation.day import check
-from tests.simulation.job_graphs import chain, end_of, ready, state_of, submit_in_turn, submit_once
+from tests.simulation.job_graphs import chain, query_state, submit_in_turn, submit_once, wait_for_end, wait_until_ready
 from tests.simulation.world import World
 
 
 async def test_cancellation_propagates_to_all_dependents() -> None:
     world = World(seed=8)
-    await ready(world)
+    await wait_until_ready(world)
     specs = chain(world, 1, {"pieces": 4}, {}, {}, {})
     world.durations[specs[0]["id"]] = 60.0
     await submit_in_turn(world, specs)
     await asyncio.sleep(15)
     assert await world.cancel_job(specs[0]["id"]) == "cancelled"
-    assert [await end_of(world, spec, 5.0) for spec in specs] == ["cancelled"] * 4
+    assert [await wait_for_end(world, spec, 5.0) for spec in specs] == ["cancelled"] * 4
     late = world.job(9, waits_on=[specs[0]["id"]])
     assert (await submit_once(world, late))[1]["status"] == "cancelled"
     later = world.job(10, waits_on=[specs[3]["id"]])
@@ -27,11 +27,11 @@
 
 async def test_cancelling_a_blocked_job_leaves_its_upstream_running() -> None:
     world = World(seed=9)
-    await ready(world)
+    await wait_until_ready(world)
     specs = chain(world, 1, {}, {}, {})
     await submit_in_turn(world, specs)
     assert await world.cancel_job(specs[1]["id"]) == "cancelled"
-    assert [await end_of(world, spec) for spec in specs] == ["done", "cancelled", "cancelled"]
+    assert [await wait_for_end(world, spec) for spec in specs] == ["done", "cancelled", "cancelled"]
     check(world)
 
 
@@ -41,7 +41,7 @@
     It commits the cancellation of the dependent job before it reports it, and gives no answer if it cannot commit.
     """
     world = World(seed=10)
-    await ready(world)
+    await wait_until_ready(world)
     for controller, _ in world.controllers.values():
         controller.dependency_reconciler._decide = lambda job: None
     specs = chain(world, 1, {"pieces": 4}, {}, {})
@@ -54,20 +54,20 @@
     world.state.outage(False)
     late = world.job(7, waits_on=[specs[2]["id"]])
     assert await world.submit(late)
-    assert await state_of(world, late) == "cancelled"
+    assert await query_state(world, late) == "cancelled"
     assert (await world.ask_checked(specs[2]["id"], "POST", "/api/jobs", specs[2]))[1] == "cancelled"
     for _ in range(20):
         for label in world.labels:
             await world.ask_checked(specs[1]["id"], "GET", f"/api/jobs/{specs[1]['id']}", label=label)
         await asyncio.sleep(0.3)
-    assert [await end_of(world, spec, 10.0) for spec in specs] == ["cancelled"] * 3
+    assert [await wait_for_end(world, spec, 10.0) for spec in specs] == ["cancelled"] * 3
     check(world)
 
 
 async def test_controller_with_a_stale_watch_refuses_to_answer_for_blocked_jobs() -> None:
     """The store answers transactions but not the watch: the controller may have missed an upstream cancellation."""
     world = World(seed=13)
-    await ready(world)
+    await wait_until_ready(world)
     specs = chain(world, 1, {}, {})
     world.durations[specs[0]["id"]] = 300.0
     await submit_in_turn(world, specs)
@@ -89,10 +89,10 @@
 async def test_blocked_job_is_released_by_the_final_record_of_a_forgotten_upstream_job() -> None:
     """No process has the upstream job in memory: the blocked job was committed just after the upstream check."""
     world = World(seed=11)
-    await ready(world)
+    await wait_until_ready(world)
     first = world.job(1, pieces=1, vcpus=1.0)
     await submit_in_turn(world, [first])
-    assert await end_of(world, first) == "done"
+    assert await wait_for_end(world, first) == "done"
     second = world.job(2, pieces=1, vcpus=1.0, waits_on=[first["id"]])
     world.rules.submitted.add(second["id"])
     world.rules.submitted_at[second["id"]] = world.now()
@@ -104,16 +104,16 @@
     world.state.log.append({"put": key, "value": value, "stamp": world.state.revision})
     for label in world.labels:
         world.spawn(world.restart(label, 0.5))
-    assert await end_of(world, second) == "done"
+    assert await wait_for_end(world, second) == "done"
     check(world)
 
 
 async def test_chain_of_hundreds_of_jobs_completes() -> None:
     world = World(seed=12)
-    await ready(world)
+    await wait_until_ready(world)
     specs = chain(world, 1, *[{"pieces": 1, "vcpus": 0.1, "image_gb": 0.0}] * 300)
     for spec in specs:
         world.durations[spec["id"]] = 0.2
     await submit_in_turn(world, specs)
-    assert await end_of(world, specs[-1], 1500.0) == "done"
+    assert await wait_for_end(world, specs[-1], 1500.0) == "done"
     check(world)
--- a/tests/simulation/test_dependency_faults.py
+++ b/tests/simulation/test_dependency_faults.py
@@ -8,7 +8,7 @@
 
 from tests.simulation.actions import leader
 from tests.simulation.day import check, day
-from tests.simulation.job_graphs import chain, diamond, end_of, ready, submit_in_turn
+from tests.simulation.job_graphs import chain, diamond, submit_in_turn, wait_for_end, wait_until_ready
 from tests.simulation.world import World
 
 
@@ -80,14 +80,14 @@
 
 async def run_job_graphs(world: World, fault=None) -> None:
     """Run diamonds and chains of jobs concurrently with other jobs during a fault, and check how each job ends."""
-    await ready(world)
+    await wait_until_ready(world)
     pipelines = [diamond(world, 100), diamond(world, 110), chain(world, 120, {}, {}, {"crew": "blue"}, {})]
     pipelines.append(chain(world, 130, {"pieces": 3}, {"pieces": 3}))
     work = [asyncio.ensure_future(submit_in_turn(world, specs)) for specs in pipelines]
     await day(world, fault, seconds=80.0, jobs=5)
     await asyncio.gather(*work)
     for specs in pipelines:
-        ends = [await end_of(world, spec) for spec in specs]
+        ends = [await wait_for_end(world, spec) for spec in specs]
         assert None not in ends, (ends, world.rules.notes)
         for spec, end in zip(specs, ends, strict=True):
             if any(world.rules.final_states.get(up) == "cancelled" for up in world.upstream(spec["id"])):
--- a/tests/simulation/test_dependency_submission.py
+++ b/tests/simulation/test_dependency_submission.py
@@ -8,7 +8,14 @@
 import pytest
 
 from tests.simulation.day import check
-from tests.simulation.job_graphs import diamond, end_of, ready, state_of, submit_in_turn, submit_once
+from tests.simulation.job_graphs import (
+    diamond,
+    query_state,
+    submit_in_turn,
+    submit_once,
+    wait_for_end,
+    wait_until_ready,
+)
 from tests.simulation.world import World
 
 
@@ -24,27 +31,27 @@
 
 async def test_diamond_runs_in_order_and_blocked_jobs_hold_nothing() -> None:
     world = World(seed=3)
-    await ready(world)
+    await wait_until_ready(world)
     specs = diamond(world, 1)
     await submit_in_turn(world, specs)
-    assert [await state_of(world, spec) for spec in specs[1:]] == ["pending"] * 3
+    assert [await query_state(world, spec) for spec in specs[1:]] == ["pending"] * 3
     for controller, _ in world.controllers.values():
         assert not {spec["id"] for spec in specs[1:]} & controller.store.jobs.keys()
-    assert [await end_of(world, spec) for spec in specs] == ["done"] * 4
+    assert [await wait_for_end(world, spec) for spec in specs] == ["done"] * 4
     check(world)
 
 
 async def test_submission_names_only_accepted_jobs_that_end() -> None:
     """Upstream jobs may be done, blocked or of another team, but not unknown, a service, or the job itself."""
     world = World(seed=4)
-    await ready(world)
+    await wait_until_ready(world)
     done = world.job(1, pieces=1, vcpus=1.0)
     service = world.job(2, shape="service", rank="prod", pieces=1, loaners=False)
     await submit_in_turn(world, [done, service])
-    assert await end_of(world, done) == "done"
+    assert await wait_for_end(world, done) == "done"
     other_team = world.job(3, crew="blue", pieces=1, waits_on=[done["id"], done["id"]])
     assert (await submit_once(world, other_team))[0] == 201
-    assert await end_of(world, other_team) == "done"
+    assert await wait_for_end(world, other_team) == "done"
     waiting = world.job(4, waits_on=[])
     assert (await submit_once(world, waiting))[0] == 201
     on_waiting = world.job(5, waits_on=[waiting["id"]])
@@ -64,7 +71,7 @@
 @pytest.mark.parametrize("needs", MALFORMED_NAMES, ids=repr)
 async def test_malformed_upstream_names_are_refused(needs: Any) -> None:
     world = World(seed=5)
-    await ready(world)
+    await wait_until_ready(world)
     assert (await world.ask("POST", "/api/jobs", world.job(1, waits_on=needs)))[0] == 400
     good = world.job(2, pieces=1)
     await submit_in_turn(world, [good])
@@ -76,7 +83,7 @@
 async def test_too_many_upstream_jobs_are_refused_after_done_ones_are_dropped() -> None:
     """The record must fit the announced lower limit of the store; duplicates and completed jobs do not count."""
     world = World(seed=6, coming_limits=True)
-    await ready(world)
+    await wait_until_ready(world)
     first = world.job(1, pieces=1)
     world.durations[first["id"]] = 500.0
     await submit_in_turn(world, [first])
@@ -96,7 +103,7 @@
 
 async def test_submission_is_refused_at_once_during_a_store_outage() -> None:
     world = World(seed=7)
-    await ready(world)
+    await wait_until_ready(world)
     first = world.job(1, pieces=1)
     await submit_in_turn(world, [first])
     world.state.outage(True)
--- a/tests/simulation/test_upgrade_faults.py
+++ b/tests/simulation/test_upgrade_faults.py
@@ -8,7 +8,7 @@
 
 from tests.simulation.actions import leader
 from tests.simulation.day import check, day
-from tests.simulation.job_graphs import diamond, end_of, ready, submit_in_turn
+from tests.simulation.job_graphs import diamond, submit_in_turn, wait_for_end, wait_until_ready
 from tests.simulation.world import World
 
 
@@ -65,12 +65,12 @@
     async def upgrade(world: World) -> None:
         await fault(world)
         assert not world.old
-        await ready(world)
+        await wait_until_ready(world)
         assert all("cp/wait/" not in key for key in world.state.items)
         specs = diamond(world, 200)
         await submit_in_turn(world, specs)
         world.lower_store_limits()
-        upgraded.append([await end_of(world, spec) for spec in specs])
+        upgraded.append([await wait_for_end(world, spec) for spec in specs])
 
     upgraded: list[list] = []
     await day(world, upgrade, seconds=90.0, jobs=10)
