--- a/tests/kvstore/test_controller_lease.py
+++ b/tests/kvstore/test_controller_lease.py
@@ -19,10 +19,10 @@
 from cloverplank.settings.platform import contact_bound, parse_platform
 from cloverplank.wire.kvstore import Transaction, TransactionResponse
 from tests.settings.test_settings import GOOD
-from tests.simulation.actions import cancel_running_jobs, leader, other_controllers, shard_owner
-from tests.simulation.day import check
 from tests.simulation.loop import run
 from tests.simulation.overlapping_faults import leader_refused_then_store_outage, play_overlapping_faults
+from tests.simulation.scenario_actions import cancel_running_jobs, leader, other_controllers, shard_owner
+from tests.simulation.simulated_day import check
 from tests.simulation.world import SETTINGS, World
 
 STARTED_AFTER_S = 25  # submitted services are running after this time
--- a/tests/membership/scenarios.py
+++ b/tests/membership/scenarios.py
@@ -8,8 +8,8 @@
 from cloverplank.kvstore import keys
 from cloverplank.settings.failure_detection import FailureDetectionSettings
 from cloverplank.settings.operator import OperatorSettings
-from tests.simulation.actions import leader, shard_owner
-from tests.simulation.day import Scenario, play_day
+from tests.simulation.scenario_actions import leader, shard_owner
+from tests.simulation.simulated_day import Scenario, play_day
 from tests.simulation.world import World
 
 DETECTOR_ENABLED = OperatorSettings(suspicion=FailureDetectionSettings(True, damp_s=20.0))
--- a/tests/membership/test_handover.py
+++ b/tests/membership/test_handover.py
@@ -18,9 +18,9 @@
 from cloverplank.shard import machine as machines
 from cloverplank.shard.shard import Shard
 from tests.membership.scenarios import handovers, play, separate_shard_owner
-from tests.simulation.actions import leader, shard_owner
-from tests.simulation.day import Scenario
 from tests.simulation.overlapping_faults import leader_refused_then_store_outage
+from tests.simulation.scenario_actions import leader, shard_owner
+from tests.simulation.simulated_day import Scenario
 from tests.simulation.world import World
 from tests.zones.scenarios import lost_and_back
 
--- a/tests/rollout/scenarios.py
+++ b/tests/rollout/scenarios.py
@@ -8,7 +8,7 @@
 from cloverplank.records.rollout import RolloutPhase
 from cloverplank.settings.operator import OperatorSettings
 from cloverplank.settings.rollout import RolloutSettings
-from tests.simulation.day import Scenario, play_day
+from tests.simulation.simulated_day import Scenario, play_day
 from tests.simulation.world import World
 
 CONTROLLERS = ("c-0", "c-1", "c-2")
--- a/tests/rollout/test_faults_during_rollout.py
+++ b/tests/rollout/test_faults_during_rollout.py
@@ -8,8 +8,8 @@
 
 from cloverplank.records.rollout import RolloutPhase
 from tests.rollout.scenarios import CONTROLLERS, committed, play, roll_back, set_goal, stored_compact, wait_for_phase
-from tests.simulation.actions import leader
 from tests.simulation.job_graphs import diamond, submit_in_turn, wait_for_end
+from tests.simulation.scenario_actions import leader
 from tests.simulation.world import World
 
 
--- a/tests/shard/test_former_owners.py
+++ b/tests/shard/test_former_owners.py
@@ -18,9 +18,9 @@
 from cloverplank.records.cluster import NodeRecord, ShardRecord
 from cloverplank.settings.platform import parse_platform
 from cloverplank.shard.shard import Shard
-from tests.simulation.actions import decline_assignments, leader, shard_owner
-from tests.simulation.day import check
 from tests.simulation.loop import run
+from tests.simulation.scenario_actions import decline_assignments, leader, shard_owner
+from tests.simulation.simulated_day import check
 from tests.simulation.transport import SimulatedTransport
 from tests.simulation.world import World
 
--- a/tests/shard/test_heartbeats.py
+++ b/tests/shard/test_heartbeats.py
@@ -13,8 +13,8 @@
 from cloverplank.wire.codec import decode
 from cloverplank.wire.workers import Heartbeat, TaskStatus
 from tests.shard.conftest import REPLICAS, ServiceCluster
-from tests.simulation.day import check
 from tests.simulation.loop import run
+from tests.simulation.simulated_day import check
 from tests.simulation.world import World
 
 
--- a/tests/shard/test_liveness.py
+++ b/tests/shard/test_liveness.py
@@ -13,8 +13,8 @@
 from cloverplank.net.messages import NoFreeSocketError
 from cloverplank.shard.machine import Health
 from tests.shard.conftest import REPLICAS, ServiceCluster, running_tasks
-from tests.simulation.day import check
 from tests.simulation.loop import run
+from tests.simulation.simulated_day import check
 from tests.simulation.world import World
 
 MAX_WAIT_S = 80.0
--- a/tests/simulation/overlapping_faults.py
+++ b/tests/simulation/overlapping_faults.py
@@ -5,7 +5,8 @@
 import asyncio
 
 from cloverplank.leader.shard_assignment import SMALL_CPU_CORES
-from tests.simulation.actions import (
+from tests.simulation.loop import run
+from tests.simulation.scenario_actions import (
     busy_machines,
     cancel_running_jobs,
     hang_machines,
@@ -14,8 +15,7 @@
     shard_owner,
     target_controller,
 )
-from tests.simulation.day import Scenario, day
-from tests.simulation.loop import run
+from tests.simulation.simulated_day import Scenario, day
 from tests.simulation.world import World
 
 
--- a/tests/simulation/single_faults.py
+++ b/tests/simulation/single_faults.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from tests.simulation.actions import busy_machines, hang_machines, shard_owner
-from tests.simulation.day import Scenario
+from tests.simulation.scenario_actions import busy_machines, hang_machines, shard_owner
+from tests.simulation.simulated_day import Scenario
 from tests.simulation.world import World
 
 
--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -21,11 +21,11 @@
 from cloverplank.shard import machine as machines
 from cloverplank.shard import shard as shard_owner
 from cloverplank.wire.users import JobResponse
-from tests.simulation.actions import cancel_running_jobs, lengthen_tasks, other_controllers
-from tests.simulation.actions import shard_owner as label_of_shard_owner
-from tests.simulation.day import Scenario, day
 from tests.simulation.job_graphs import submit_in_turn
 from tests.simulation.loop import run
+from tests.simulation.scenario_actions import cancel_running_jobs, lengthen_tasks, other_controllers
+from tests.simulation.scenario_actions import shard_owner as label_of_shard_owner
+from tests.simulation.simulated_day import Scenario, day
 from tests.simulation.single_faults import shard_owner_alone_reaches_workers, shard_owner_partitioned
 from tests.simulation.world import World
 
--- a/tests/simulation/test_dependency_cancellation.py
+++ b/tests/simulation/test_dependency_cancellation.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from tests.simulation.day import check
 from tests.simulation.job_graphs import chain, query_state, submit_in_turn, submit_once, wait_for_end, wait_until_ready
+from tests.simulation.simulated_day import check
 from tests.simulation.world import World
 
 
--- a/tests/simulation/test_dependency_faults.py
+++ b/tests/simulation/test_dependency_faults.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from tests.simulation.actions import leader
-from tests.simulation.day import check, day
 from tests.simulation.job_graphs import chain, diamond, submit_in_turn, wait_for_end, wait_until_ready
+from tests.simulation.scenario_actions import leader
+from tests.simulation.simulated_day import check, day
 from tests.simulation.world import World
 
 
--- a/tests/simulation/test_dependency_submission.py
+++ b/tests/simulation/test_dependency_submission.py
@@ -7,7 +7,6 @@
 
 import pytest
 
-from tests.simulation.day import check
 from tests.simulation.job_graphs import (
     diamond,
     query_state,
@@ -16,6 +15,7 @@
     wait_for_end,
     wait_until_ready,
 )
+from tests.simulation.simulated_day import check
 from tests.simulation.world import World
 
 
--- a/tests/simulation/test_faults.py
+++ b/tests/simulation/test_faults.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from tests.simulation.actions import hang_machines, shard_owner
-from tests.simulation.day import Scenario, check, day
+from tests.simulation.scenario_actions import hang_machines, shard_owner
+from tests.simulation.simulated_day import Scenario, check, day
 from tests.simulation.single_faults import FAULTS
 from tests.simulation.world import World
 
--- a/tests/simulation/test_overlapping_faults.py
+++ b/tests/simulation/test_overlapping_faults.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from tests.simulation.day import Scenario, check
 from tests.simulation.overlapping_faults import (
     FAULTS_OF_ONE_CONTROLLER,
     OVERLAPPING_FAULTS,
@@ -12,6 +11,7 @@
     zone_bound_jobs_lose_machines,
     zone_partitioned,
 )
+from tests.simulation.simulated_day import Scenario, check
 
 NEED_TWO_ZONES = (zone_partitioned, zone_bound_jobs_lose_machines)
 
--- a/tests/simulation/test_start_faults.py
+++ b/tests/simulation/test_start_faults.py
@@ -11,9 +11,9 @@
 from cloverplank.leader.shard_assignment import SMALL_CPU_CORES
 from cloverplank.net.messages import Response
 from tests.membership.scenarios import DETECTOR_ENABLED
-from tests.simulation.actions import decline_assignments, leader, shard_owner
-from tests.simulation.day import check
 from tests.simulation.loop import run
+from tests.simulation.scenario_actions import decline_assignments, leader, shard_owner
+from tests.simulation.simulated_day import check
 from tests.simulation.world import World
 
 ZONE = "zone-0"
--- a/tests/zones/scenarios.py
+++ b/tests/zones/scenarios.py
@@ -7,7 +7,7 @@
 from cloverplank.settings.operator import OperatorSettings
 from cloverplank.settings.zones import ZoneSettings
 from tests.simulation.commit_history import CommitHistory
-from tests.simulation.day import Scenario, play_day
+from tests.simulation.simulated_day import Scenario, play_day
 from tests.simulation.world import World
 
 BULK_CLASS = "reconciliation"
--- a/tests/zones/test_lost_zones.py
+++ b/tests/zones/test_lost_zones.py
@@ -12,7 +12,7 @@
 from cloverplank.settings.rollout import RolloutSettings
 from cloverplank.settings.zones import ZoneSettings
 from cloverplank.zones.plan import ZonePlan
-from tests.simulation.actions import leader
+from tests.simulation.scenario_actions import leader
 from tests.simulation.world import World
 from tests.zones.scenarios import SCARCE_CAPACITY, SETTINGS, lost_and_back, play
 
