--- a/tests/rollout/test_rollout_property.py
+++ b/tests/rollout/test_rollout_property.py
@@ -34,9 +34,9 @@
 
 
 def check_invariants(cluster: Cluster) -> None:
-    cluster.nobody_meets_a_shape_that_it_cannot_read()
-    cluster.version_moves_as_the_tables_say()
-    cluster.announced_is_what_is_committed()
+    cluster.running_programs_can_read_all_records()
+    cluster.version_changes_match_transitions()
+    cluster.announced_version_is_committed()
 
 
 def cluster_with_delayed_activation() -> Cluster:
@@ -45,7 +45,7 @@
     cluster.begin(0, 1, 0)
     run_until(cluster, 0, RolloutPhase.SOAK)
     cluster.time_passes(90.0)
-    cluster.hear_news("c-0")
+    cluster.update_watch_cache("c-0")
     cluster.lead("c-0", late=True)
     return cluster
 
@@ -55,8 +55,8 @@
     cluster = cluster_with_delayed_activation()
     cluster.stop("c-1")
     cluster.start("c-1", PRODUCTION, 1, frozenset())
-    cluster.carry_out_late(0)
-    cluster.hear_news("c-2")
+    cluster.apply_late_commit(0)
+    cluster.update_watch_cache("c-2")
     cluster.write("c-2", JOBS[0], late=False)
     return cluster
 
@@ -70,7 +70,7 @@
     run_until(cluster, 0, RolloutPhase.FINALIZED, deaf="c-2")
     cluster.stop("c-1")
     cluster.start("c-1", PRODUCTION, 1, frozenset())
-    cluster.read_anew("c-2", JOBS[0])
+    cluster.reload_record("c-2", JOBS[0])
     cluster.write("c-2", JOBS[0], late=False)
     return cluster
 
@@ -81,7 +81,7 @@
     run_until(cluster, 1, RolloutPhase.FINALIZED)
     cluster.change_goal(0)
     run_until(cluster, 0, RolloutPhase.FINALIZED)
-    cluster.carry_out_late(0)
+    cluster.apply_late_commit(0)
     assert cluster._version() == 0
     return cluster
 
@@ -96,9 +96,9 @@
     cluster.start("c-0", ABLE, 1, frozenset())
     cluster.take_leadership("c-1")
     cluster.time_passes(90.0)
-    cluster._look(former, late=False)
+    cluster._take_step(former, late=False)
     assert cluster.history[-1].phase is RolloutPhase.SOAK
-    cluster.hear_news("c-1")
+    cluster.update_watch_cache("c-1")
     cluster.lead("c-1", late=False)
     assert cluster.history[-1].phase is RolloutPhase.PREPARED, "a process came back since the soak began"
     return cluster
--- a/tests/simulation/rollout_model.py
+++ b/tests/simulation/rollout_model.py
@@ -201,13 +201,13 @@
         self.time_passes(90.0)
         for name in self.running:
             if name != isolated:
-                self.hear_news(name)
+                self.update_watch_cache(name)
         for process in list(self.running.values()):
             if process.program == ABLE and process.name != isolated:
-                self._look(process, False)
+                self._take_step(process, False)
 
     @rule(name=st.sampled_from(NAMES), job=st.sampled_from(JOBS))
-    def read_anew(self, name: str, job: str) -> None:
+    def reload_record(self, name: str, job: str) -> None:
         """Reload one record after a conflict, before the watch delivers the other changes."""
         if name in self.running:
             value, mod_revision, _ = self.state.items[keys.job(job)]
@@ -222,7 +222,7 @@
             self._record_history()
 
     @rule(name=st.sampled_from(NAMES))
-    def hear_news(self, name: str) -> None:
+    def update_watch_cache(self, name: str) -> None:
         """Apply all pending changes to the watch cache of a process."""
         if name in self.running:
             self._catch_up(self.running[name].watch_cache)
@@ -248,9 +248,9 @@
         """Let a controller that is leader by its own watch cache, which may lag behind, take a step."""
         process = self.running.get(name)
         if process is not None and process.program == ABLE:
-            self._look(process, late)
+            self._take_step(process, late)
 
-    def _look(self, process: Process, late: bool) -> None:
+    def _take_step(self, process: Process, late: bool) -> None:
         watch_cache, committed = process.watch_cache, process.committed
         leader = watch_cache.get(keys.LEADER, LeaderRecord)
         if leader is None or leader[0].lease != process.lease:
@@ -305,14 +305,14 @@
 
     @precondition(lambda self: self.late)
     @rule(number=st.integers(0, 20))
-    def carry_out_late(self, number: int) -> None:
+    def apply_late_commit(self, number: int) -> None:
         """Apply one of the transactions in flight."""
         self._commit(self.late.pop(number % len(self.late)))
 
     # -- invariants
 
     @invariant()
-    def nobody_meets_a_shape_that_it_cannot_read(self) -> None:
+    def running_programs_can_read_all_records(self) -> None:
         """Check that production never runs while a compact record exists, and that compact records were allowed."""
         shapes = {shape_of(decode_stored(msgspec.msgpack.encode(self.state.items[keys.job(job)][0]))) for job in JOBS}
         if Shape.COMPACT in shapes:
@@ -320,13 +320,13 @@
             assert self._version() >= 1 or any(p.program == UNAWARE for p in self.running.values())
 
     @invariant()
-    def version_moves_as_the_tables_say(self) -> None:
+    def version_changes_match_transitions(self) -> None:
         """Check every change of the version against `TRANSITIONS`."""
         for before, after in zip(self.history, self.history[1:], strict=False):
             assert after.version - before.version == TRANSITIONS[before.phase.value, after.phase.value]
 
     @invariant()
-    def announced_is_what_is_committed(self) -> None:
+    def announced_version_is_committed(self) -> None:
         """Check that the version announced to older programs is the committed version."""
         if keys.ROLLOUT in self.state.items:
             announced = self.state.items.get(keys.FORMAT)
@@ -342,7 +342,7 @@
         for _ in range(40):
             self.time_passes(90.0)
             for name in NAMES:
-                self.hear_news(name)
+                self.update_watch_cache(name)
             self.lead("c-0", False)
         assert (self._version(), self.history[-1].phase) == (NEWEST_VERSION, RolloutPhase.FINALIZED)
         assert all(
