--- a/src/cloverplank/leader/zone_allocation.py
+++ b/src/cloverplank/leader/zone_allocation.py
@@ -129,7 +129,7 @@
             ):
                 headroom_reserved = True
                 self._reserve_headroom(cycle)
-            if queued_job.record.missing_count() and not queued_job.held:
+            if queued_job.record.missing_count() and not queued_job.deferred:
                 self._allocate(queued_job, cycle)
         if not headroom_reserved:
             self._reserve_headroom(cycle)
@@ -146,7 +146,9 @@
             log.exception("job %s can't be allocated to zones", view.id)
             return
         cycle.unmet_demands += unmet_demands
-        if not quotas.covered(record, allocation) and not view.has_pending(Decision.ALLOCATION, Decision.PLACEMENT):
+        if not quotas.record_covers_allocation(record, allocation) and not view.has_pending(
+            Decision.ALLOCATION, Decision.PLACEMENT
+        ):
             self._stage(view, allocation, cycle)
 
     def _stage(self, view: CachedJob, allocation: dict[Zone, int], cycle: _AllocationCycle) -> None:
@@ -188,7 +190,7 @@
             )
             up_for_s = 0.0 if entry.up_since is None else self._clock.monotonic() - entry.up_since
             capacity.reserved = not plan.admits(entry.zone, entry.id, up_for_s)
-            capacity.real = entry.is_up()
+            capacity.up = entry.is_up()
             result.append(capacity)
         return result
 
@@ -206,7 +208,7 @@
                     machine_type,
                     spot=provisioning.spot,
                     store=self._store,
-                    real=False,
+                    up=False,
                 )
                 for number in range(provisioning.count)
             ]
