--- a/tests/kvstore/test_controller_lease.py
+++ b/tests/kvstore/test_controller_lease.py
@@ -19,10 +19,10 @@
 from cloverplank.settings.platform import contact_bound, parse_platform
 from cloverplank.wire.kvstore import Transaction, TransactionResponse
 from tests.settings.test_settings import VALID_SETTINGS
-from tests.simulation.actions import cancel_running_jobs, leader, other_controllers, shard_owner
-from tests.simulation.day import check
 from tests.simulation.loop import run
 from tests.simulation.overlapping_faults import leader_refused_then_store_outage, play_overlapping_faults
+from tests.simulation.scenario_actions import cancel_running_jobs, leader, other_controllers, shard_owner
+from tests.simulation.simulated_day import check
 from tests.simulation.world import SETTINGS, World
 
 STARTED_AFTER_S = 25  # submitted services are running after this time
@@ -228,7 +228,7 @@
     # The store has to refuse a shard owner, since shard owners answer workers; the leader by itself answers none.
     assert (
         "ran_cancelled"
-        in play_overlapping_faults(leader_refused_then_store_outage, 308, 1, strikes_shard_owner=True).rules.violations
+        in play_overlapping_faults(leader_refused_then_store_outage, 308, 1, targets_shard_owner=True).rules.violations
     )
 
 
@@ -256,7 +256,7 @@
     world.state.revision += 1
     world.state.items[key] = ({}, world.state.revision, None)
     world.state.log.append({"put": key, "value": {}, "stamp": world.state.revision})
-    world.state.news.set()
+    world.state.changed.set()
     return ModRevision(world.state.revision)
 
 
--- a/tests/rollout/scenarios.py
+++ b/tests/rollout/scenarios.py
@@ -8,7 +8,7 @@
 from cloverplank.records.rollout import RolloutPhase
 from cloverplank.settings.operator import OperatorSettings
 from cloverplank.settings.rollout import RolloutSettings
-from tests.simulation.day import Scenario, play_day
+from tests.simulation.simulated_day import Scenario, play_day
 from tests.simulation.world import World
 
 CONTROLLERS = ("c-0", "c-1", "c-2")
@@ -90,7 +90,7 @@
             world.spawn(submit_later(world, wide_job(world, 40 + number), 3.0 + 20.0 * number))
 
     world = play_day(build_world, scenario, wide_jobs, seconds=150.0, jobs=8)
-    assert not world.unreadable_met
+    assert not world.unreadable_keys
     assert not world.state.refused_commits
     return world
 
--- a/tests/rollout/test_rollout.py
+++ b/tests/rollout/test_rollout.py
@@ -131,7 +131,7 @@
     await asyncio.sleep(10)
     assert world.controllers["c-2"][0].controller_lease.lease is None
     assert world.state.items[keys.node("c-2")][0]["lease"] == NO_LEASE
-    world.unreadable_met.clear()  # the barring key prevents the process from joining, not from reading
+    world.unreadable_keys.clear()  # the barring key prevents the process from joining, not from reading
     world.crash("c-2")
     await upgrade(world, ("c-2",), every_s=6.0)
     assert world.controllers["c-2"][0].controller_lease.lease is not None
--- a/tests/simulation/test_upgrade_faults.py
+++ b/tests/simulation/test_upgrade_faults.py
@@ -1,4 +1,4 @@
-"""Rolling upgrades from production's version in the simulated world, with faults between."""
+"""Rolling upgrades from production's version in the simulated world, with faults during the upgrade."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 import pytest
 
-from tests.simulation.actions import leader
-from tests.simulation.day import check, day
-from tests.simulation.job_graphs import diamond, end_of, ready, submit_in_turn
+from tests.simulation.job_graphs import diamond, submit_in_turn, wait_for_end, wait_until_ready
+from tests.simulation.scenario_actions import leader
+from tests.simulation.simulated_day import check, day
 from tests.simulation.world import World
 
 
 async def upgrade_in_turn(world: World, every_s: float) -> None:
-    """Restart each controller as this version, one after the other."""
+    """Upgrade the controllers one after another, with a restart of the next one every `every_s` seconds."""
     for label in list(world.labels):
         world.spawn(world.restart(label, 1.5, upgrade=True))
         await asyncio.sleep(every_s)
@@ -26,7 +26,7 @@
 
 
 async def rolling_upgrade_with_crash_and_outage(world: World) -> None:
-    """Restart one as the old version before its turn, and take the store down while the last is upgraded."""
+    """Restart a controller that is not upgraded yet, and take the store down while the last one is upgraded."""
     await asyncio.sleep(10)
     world.spawn(world.restart("c-0", 1.0, upgrade=True))
     await asyncio.sleep(5)
@@ -59,18 +59,18 @@
 )
 @pytest.mark.parametrize("seed", [31, 32])
 async def test_versions_serve_side_by_side(fault, seed: int) -> None:
-    """All begin as production's version; job graphs are submitted once the last is upgraded."""
+    """All controllers start as production's version; job graphs are submitted after the last upgrade."""
     world = World(seed=seed, coming_limits=True, old=("c-0", "c-1", "c-2"))
 
     async def upgrade(world: World) -> None:
         await fault(world)
         assert not world.old
-        await ready(world)
+        await wait_until_ready(world)
         assert all("cp/wait/" not in key for key in world.state.items)
         specs = diamond(world, 200)
         await submit_in_turn(world, specs)
         world.lower_store_limits()
-        upgraded.append([await end_of(world, spec) for spec in specs])
+        upgraded.append([await wait_for_end(world, spec) for spec in specs])
 
     upgraded: list[list] = []
     await day(world, upgrade, seconds=90.0, jobs=10)
--- a/tests/simulation/link.py
+++ b/tests/simulation/transport.py
@@ -1,4 +1,4 @@
-"""The transport of one controller in the simulated world; stands in for its HTTP client."""
+"""The transport of one controller in the simulated world, which replaces its HTTP client."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     from tests.simulation.world import World
 
 
-class Link:
+class SimulatedTransport:
     """Sends a controller's requests over the simulated network."""
 
     def __init__(self, world: World, label: str) -> None:
