--- a/tests/simulation/test_checks_can_fail.py
+++ b/tests/simulation/test_checks_can_fail.py
@@ -129,7 +129,7 @@
         known = self._watch_cache.store.get(job) is not None
         return make_response(404) if known else make_response(200, JobResponse(job, "pending"))
 
-    monkeypatch.setattr(users.Users, "_get", swapped)
+    monkeypatch.setattr(users.JobRequestHandler, "_get", swapped)
 
     async def play() -> set[str]:
         world = World(seed=5)
