--- a/src/cloverplank/settings/operator.py
+++ b/src/cloverplank/settings/operator.py
@@ -29,7 +29,7 @@
         0.0,
         minimum=0.0,
         maximum=600.0,
-        doc="time without heartbeats after which a machine is tainted and evicted; 0: as soon as its lease expires",
+        doc="time without contact after which a machine is tainted and evicted; 0: as soon as its lease expires",
     ),
     NumberSetting(
         "no_new_after_reports",
--- a/tests/kvstore/test_transaction_queue.py
+++ b/tests/kvstore/test_transaction_queue.py
@@ -16,7 +16,7 @@
 from tests.simulation.world import World
 
 JOB = JobId("run-000001")
-BURST_S = 0.5  # a burst may have the changes of this time
+BURST_S = 0.5  # a burst has at most the number of changes that the token bucket refills in this time
 
 
 def put(key: str) -> Transaction:
--- a/tests/loopback/measure.py
+++ b/tests/loopback/measure.py
@@ -1,4 +1,4 @@
-"""Measures on loopback, outside CI: the time and commits of a rollout, and the replicas that are missing meanwhile.
+"""Measures on loopback, outside CI: the time and commits of a rollout, and the replicas that are missing during it.
 
     python3 -m tests.loopback.measure --seeds 1-10 --controllers 3
 
--- a/tests/shard/test_former_owners.py
+++ b/tests/shard/test_former_owners.py
@@ -120,8 +120,8 @@
     run_scenario(scenario)
 
 
-# If an owner between two cycles is not recorded, a task runs twice: the workers to which that owner still responds are
-# given up.
+# If an owner whose assignment began and ended between two cycles is not recorded, a task runs twice: that owner still
+# renews the leases of its workers, but the new owner assumes that the leases have expired and the tasks have ended.
 @pytest.mark.parametrize("owners_in_between", [["c-2"], ["c-2", "c-1", "c-2"]], ids=["one owner", "several owners"])
 def test_former_owner_between_two_scheduling_cycles_may_still_answer_workers(owners_in_between: list[str]) -> None:
     async def scenario(controller: StoppedController) -> None:
@@ -156,7 +156,7 @@
 
 def test_owner_that_held_the_shard_for_long_is_remembered_from_the_end_of_its_assignment() -> None:
     async def scenario(controller: StoppedController) -> None:
-        await asyncio.sleep(3 * WARM_UP_S)  # no cycle meanwhile
+        await asyncio.sleep(3 * WARM_UP_S)  # the controller runs no scheduling cycle during this time
         controller.expire_lease("c-1")
         controller.assign_shard("c-0", OWN_LEASE)
         controller.cycle()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""The start of a process: its imports, and its bytecode cache. Work waits during every restart."""
+"""Start-up of a process: its imports and its bytecode cache. Each restart delays work by the start-up time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[1]
-UNNEEDED_MODULES = ("google.protobuf", "hypothesis", "pytest", "certifi", "xml", "sqlite3")  # ssl comes with asyncio
+UNNEEDED_MODULES = ("google.protobuf", "hypothesis", "pytest", "certifi", "xml", "sqlite3")  # asyncio needs ssl
 
 
 def run_in_new_process(code: str) -> str:
