--- a/src/cloverplank/kvstore/job_transactions.py
+++ b/src/cloverplank/kvstore/job_transactions.py
@@ -27,7 +27,7 @@
 class JobTransactionBuilder:
     """Merges the pending changes of a job into one transaction.
 
-    `gate` returns the compares that a write of a record shape is conditional on, in addition to those of the record.
+    `gate` returns the compares that a write in a layout is conditional on, in addition to those of the record.
     """
 
     def __init__(
--- a/src/cloverplank/kvstore/transaction_queue.py
+++ b/src/cloverplank/kvstore/transaction_queue.py
@@ -55,14 +55,14 @@
 DEFAULT_MAX_VALUE_BYTES = 64 * 1024  # used if no size limits are given
 
 
-def _ungated(shape: LayoutKind) -> list[Compare]:
+def _ungated(layout_kind: LayoutKind) -> list[Compare]:
     return []
 
 
 class TransactionQueue:
     """Sends transactions in the order of their priorities, as fast as the token bucket for changes allows.
 
-    `gate` returns the compares that a write of a record shape is conditional on, in addition to those of the record.
+    `gate` returns the compares that a write in a layout is conditional on, in addition to those of the record.
     """
 
     def __init__(
--- a/src/cloverplank/rollout/committed.py
+++ b/src/cloverplank/rollout/committed.py
@@ -67,12 +67,12 @@
         """Return whether the job's record is stored compact and may stay compact if its plain form is too large."""
         return job in self._watch_cache.compact_jobs and self.compact_use() is CompactLayoutUse.LEAVING
 
-    def write_conditions(self, shape: LayoutKind) -> list[Compare]:
-        """Return the compares that guard a write in the shape.
+    def write_conditions(self, layout_kind: LayoutKind) -> list[Compare]:
+        """Return the compares that guard a write in the layout.
 
-        A write in a gated shape requires the gate keys to be unchanged since the watch cache read them.
+        A write in a gated layout requires the gate keys to be unchanged since the watch cache read them.
         """
-        if shape is LayoutKind.PLAIN:
+        if layout_kind is LayoutKind.PLAIN:
             return []
         return [Compare(key, self._watch_cache.stored_mod_revision(key)) for key in GATE_KEYS]
 
--- a/src/cloverplank/rollout/migration.py
+++ b/src/cloverplank/rollout/migration.py
@@ -50,10 +50,10 @@
         return []
 
     def _jobs_in_other_shape(self) -> Iterator[CachedJob]:
-        """Yield the jobs whose records are stored in another shape than the required one."""
+        """Yield the jobs whose records are stored in another layout than the required one."""
         for job in self._watch_cache.store.jobs.values():
-            required_shape = self._size_limits.layout_kind(job.record)
-            if required_shape is not (LayoutKind.COMPACT if self._is_compact(job) else LayoutKind.PLAIN):
+            required_layout_kind = self._size_limits.layout_kind(job.record)
+            if required_layout_kind is not (LayoutKind.COMPACT if self._is_compact(job) else LayoutKind.PLAIN):
                 yield job
 
     def stage_rewrites(self, remaining: list[CachedJob], since: ModRevision) -> None:
--- a/tests/rollout/test_rollout_property.py
+++ b/tests/rollout/test_rollout_property.py
@@ -148,7 +148,7 @@
 
 
 def test_check_detects_a_write_without_the_gate(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(CommittedRollout, "write_conditions", lambda self, shape: [])
+    monkeypatch.setattr(CommittedRollout, "write_conditions", lambda self, layout_kind: [])
     with pytest.raises(AssertionError):
         check_invariants(write_by_a_controller_that_missed_the_retreat())
 
